--- a/crates/teaseltrack-agent/src/announce.rs
+++ b/crates/teaseltrack-agent/src/announce.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use teaseltrack::outcome::ErrorKind;
 use teaseltrack_daemon::{
-    http_server::{AnswerBody, json_response, read_json, serve},
+    http_server::{ResponseBody, json_response, read_json, serve},
     problem::Problem,
 };
 use tokio::net::TcpListener;
@@ -50,7 +50,7 @@
     serve(listener, MAX_CONNECTIONS, closing, handler).await;
 }
 
-async fn answer(capacity: CapacityHandle, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn answer(capacity: CapacityHandle, request: Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path();
     if path != TARGET_PATH {
         let detail = format!("path: {path} doesn't exist");
@@ -66,7 +66,7 @@
     }
 }
 
-async fn announce(capacity: CapacityHandle, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn announce(capacity: CapacityHandle, request: Request<Incoming>) -> Response<ResponseBody> {
     let announcement: TargetAnnouncement =
         match read_json(request.into_body(), MAX_BODY_BYTES).await {
             Ok(announcement) => announcement,
--- a/crates/teaseltrack-agent/src/options/config.rs
+++ b/crates/teaseltrack-agent/src/options/config.rs
@@ -6,7 +6,7 @@
 use teaseltrack::placement::Resources;
 use teaseltrack_daemon::settings::{
     HealthSettings, InstanceSettings, ObservationSettings, PlatformSettings, SettingsError,
-    check_concrete, check_positive,
+    check_positive, check_specified_ip,
 };
 use teaseltrack_node::settings::ControlSettings;
 
@@ -115,7 +115,7 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         self.instance.check()?;
         self.control.check()?;
-        check_concrete("requests.address", self.requests.address)?;
+        check_specified_ip("requests.address", self.requests.address)?;
         check_positive("requests.queue_per_class", self.requests.queue_per_class as f64)?;
         check_positive("requests.max_body_bytes", self.requests.max_body_bytes as f64)?;
         check_positive("target.announcement_ttl_ms", self.target.announcement_ttl_ms as f64)?;
--- a/crates/teaseltrack-agent/src/tasks/attempts.rs
+++ b/crates/teaseltrack-agent/src/tasks/attempts.rs
@@ -21,11 +21,13 @@
 use teaseltrack_platform::{
     keys,
     store::Store,
-    worker::{AttemptKey, StartCall, SyncAnswer, WorkerAttempt, WorkerClient, WorkerState},
+    worker::{
+        AttemptKey, StartRequest, SyncResponse, WorkerAttempt, WorkerAttemptState, WorkerClient,
+    },
 };
 use teaseltrack_wire::control::{
-    AttemptEvent, AttemptReport, RoomAnswer, RoomRequest, ShardOwner, StartOrder, StopCause,
-    StopOrder,
+    AttemptEvent, AttemptReport, ReservationRequest, ReservationResponse, ShardOwner, StartOrder,
+    StopCause, StopOrder,
 };
 use tokio::{
     sync::{mpsc, oneshot, watch},
@@ -50,7 +52,7 @@
 #[derive(Debug)]
 pub enum AttemptMessage {
     /// Room is asked for.
-    Reserve(Vec<RoomRequest>, oneshot::Sender<Result<RoomAnswer, ErrorKind>>),
+    Reserve(Vec<ReservationRequest>, oneshot::Sender<Result<ReservationResponse, ErrorKind>>),
     /// Committed assignments are to start.
     Start(ShardOwner, Vec<StartOrder>, oneshot::Sender<Result<(), ErrorKind>>),
     /// Attempts are to stop.
@@ -196,7 +198,7 @@
         *self.context.lease.borrow()
     }
 
-    fn reserve(&mut self, requests: &[RoomRequest]) -> RoomAnswer {
+    fn reserve(&mut self, requests: &[ReservationRequest]) -> ReservationResponse {
         let now = self.context.clock.now();
         self.ledger.expire(now);
         let lease = self.lease().filter(|lease| lease.deadline > now && !self.is_draining);
@@ -216,11 +218,11 @@
                 );
             granted.push(is_granted);
         }
-        RoomAnswer {
+        ReservationResponse {
             granted,
             incarnation: lease.map(|lease| lease.incarnation),
             capacity: if lease.is_some() { self.ledger.capacity() } else { Resources::default() },
-            room: if lease.is_some() { self.ledger.room() } else { Resources::default() },
+            available: if lease.is_some() { self.ledger.room() } else { Resources::default() },
         }
     }
 
@@ -278,14 +280,14 @@
                 return;
             }
         };
-        let call = StartCall {
+        let call = StartRequest {
             holder: self.context.worker.holder(),
             incarnation,
             key: key.clone(),
             resources,
             run_ms: spec.run_ms,
             checkpoint,
-            not_after_ms: self.context.worker.start_limit_ms(),
+            not_after_ms: self.context.worker.start_deadline_ms(),
         };
         self.running.insert(key.clone());
         self.status.started += 1;
@@ -323,7 +325,7 @@
             return;
         };
         self.stopping.remove(&key);
-        if matches!(answer.state, WorkerState::Done | WorkerState::Failed(_)) {
+        if matches!(answer.state, WorkerAttemptState::Done | WorkerAttemptState::Failed(_)) {
             return;
         }
         self.running.remove(&key);
@@ -391,7 +393,7 @@
         self.reported_started.clear();
     }
 
-    async fn take_in(&mut self, answer: SyncAnswer) {
+    async fn take_in(&mut self, answer: SyncResponse) {
         let is_current = answer.incarnation == self.incarnation;
         if !is_current {
             return;
@@ -417,15 +419,15 @@
             return;
         }
         match state {
-            WorkerState::Running | WorkerState::Paused => {
+            WorkerAttemptState::Running | WorkerAttemptState::Paused => {
                 self.adopt(&key, resources);
                 if self.reported_started.insert(key.clone()) {
                     self.report(&key, AttemptEvent::Started).await;
                 }
             }
-            WorkerState::Stopped => self.adopt_stopped(key).await,
-            WorkerState::Done => self.finish(&key, AttemptEvent::Done).await,
-            WorkerState::Failed(reason) => {
+            WorkerAttemptState::Stopped => self.adopt_stopped(key).await,
+            WorkerAttemptState::Done => self.finish(&key, AttemptEvent::Done).await,
+            WorkerAttemptState::Failed(reason) => {
                 self.finish(&key, AttemptEvent::Failed { reason }).await;
             }
         }
--- a/crates/teaseltrack-agent/src/tasks/lease_keeper.rs
+++ b/crates/teaseltrack-agent/src/tasks/lease_keeper.rs
@@ -17,7 +17,7 @@
 };
 use teaseltrack_platform::{
     keys,
-    store::{CommitAnswer, Condition, Row, Store, StoreError, Transaction, Write},
+    store::{CommitOutcome, Condition, Row, Store, StoreError, Transaction, Write},
     stream::transaction_id,
 };
 use tokio::{
@@ -142,12 +142,12 @@
         let row = self.row(incarnation, LeaseState::Held);
         let sent_at = self.clock.now();
         match self.write(&row, version).await? {
-            CommitAnswer::Committed { version } => Ok(Acquired::Held(Written {
+            CommitOutcome::Committed { version } => Ok(Acquired::Held(Written {
                 row,
                 version,
                 lease: HeldLease::new(self.ttl, sent_at),
             })),
-            CommitAnswer::Conflict { .. } => Ok(Acquired::Contended),
+            CommitOutcome::Conflict { .. } => Ok(Acquired::Contended),
         }
     }
 
@@ -158,11 +158,11 @@
         loop {
             let sent_at = self.clock.now();
             match self.write(&row, held.version).await {
-                Ok(CommitAnswer::Committed { version }) => {
+                Ok(CommitOutcome::Committed { version }) => {
                     held.lease.renew(sent_at);
                     return Some(Written { row, version, lease: held.lease });
                 }
-                Ok(CommitAnswer::Conflict { .. }) => break,
+                Ok(CommitOutcome::Conflict { .. }) => break,
                 Err(error) => warn!(self.logger, "lease not renewed"; "error" => %error),
             }
             let wait = backoff.after_failure(&mut rand::rng());
@@ -210,7 +210,7 @@
         }
     }
 
-    async fn write(&self, row: &LeaseRow, version: u64) -> Result<CommitAnswer, StoreError> {
+    async fn write(&self, row: &LeaseRow, version: u64) -> Result<CommitOutcome, StoreError> {
         let key = keys::lease(&self.instance);
         let transaction = Transaction {
             id: row.transaction.clone(),
--- a/crates/teaseltrack-agent/src/tasks/owner.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner.rs
@@ -33,7 +33,7 @@
     keys,
     shard_state::{load_shard, write_snapshot},
     store::{Condition, Store, StoreError, Write},
-    stream::{Append, Appended, Stream},
+    stream::{Append, AppendOutcome, Stream},
 };
 use teaseltrack_wire::control::{AttemptEvent, AttemptReport, ReportBatch, StopCause, StopOrder};
 use tokio::{
@@ -191,10 +191,10 @@
             owner,
             conditions: Vec::new(),
             writes: Vec::new(),
-            give_up_at: None,
+            retry_deadline: None,
         };
         let appended = stream.append(&context.store, &context.clock, append).await;
-        if !matches!(appended, Ok(Appended::Committed(_))) {
+        if !matches!(appended, Ok(AppendOutcome::Committed(_))) {
             return None;
         }
         let loaded = loop {
@@ -230,8 +230,8 @@
         match message {
             OwnerMessage::Wake => self.is_inbox_due = true,
             OwnerMessage::Report(batch, reply) => {
-                let ReportBatch { instance, incarnation, capacity, room, reports, .. } = batch;
-                self.placer.report(&instance, incarnation, capacity, room);
+                let ReportBatch { instance, incarnation, capacity, available, reports, .. } = batch;
+                self.placer.report(&instance, incarnation, capacity, available);
                 for report in reports {
                     self.take_in_report(&instance, report, round);
                 }
@@ -359,7 +359,7 @@
             let started_at = self.context.clock.now();
             let appended =
                 self.stream.append(&self.context.store, &self.context.clock, append).await;
-            let Ok(Appended::Committed(_)) = appended else { return Err(ShardLost) };
+            let Ok(AppendOutcome::Committed(_)) = appended else { return Err(ShardLost) };
             if self.stream.head().owner.as_ref() != Some(&self.context.owner) {
                 return Err(ShardLost);
             }
@@ -390,7 +390,7 @@
             owner,
             conditions,
             writes,
-            give_up_at: None,
+            retry_deadline: None,
         }
     }
 
@@ -429,9 +429,9 @@
         let body =
             EntryBody::Ownership { owner: None, reason: "planned stop of the owner".to_owned() };
         let mut append = self.append(body, None, Vec::new(), Vec::new());
-        append.give_up_at = Some(self.context.clock.now() + GIVE_UP_TIMEOUT);
+        append.retry_deadline = Some(self.context.clock.now() + GIVE_UP_TIMEOUT);
         let appended = self.stream.append(&self.context.store, &self.context.clock, append).await;
         info!(self.context.logger, "shard given up"; "shard" => self.shard,
-            "committed" => matches!(appended, Ok(Appended::Committed(_))));
+            "committed" => matches!(appended, Ok(AppendOutcome::Committed(_))));
     }
 }
--- a/crates/teaseltrack-agent/src/tasks/owner/leases.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/leases.rs
@@ -15,7 +15,7 @@
 use teaseltrack_platform::{
     keys,
     store::{Condition, Row, StoreError, Write},
-    stream::Appended,
+    stream::AppendOutcome,
 };
 
 use crate::tasks::owner::{OwnedShard, ShardLost};
@@ -121,7 +121,7 @@
         let owner = Some(self.context.owner.clone());
         let append = self.append(body, owner, conditions, writes);
         match self.stream.append(&self.context.store, &self.context.clock, append).await {
-            Ok(Appended::Committed(_)) => {
+            Ok(AppendOutcome::Committed(_)) => {
                 for decision in &decisions {
                     let applied = self.state.apply(decision);
                     assert!(applied.is_ok(), "committed decision doesn't apply: {applied:?}");
@@ -129,11 +129,11 @@
                 Ok(())
             }
             // The holder renewed in time: its tasks stay where they are.
-            Ok(Appended::Conflict { .. }) => {
+            Ok(AppendOutcome::Conflict { .. }) => {
                 self.lease_watches.remove(&lease.instance);
                 Ok(())
             }
-            Ok(Appended::HeadMoved) | Err(_) => Err(ShardLost),
+            Ok(AppendOutcome::HeadMoved) | Err(_) => Err(ShardLost),
         }
     }
 }
--- a/crates/teaseltrack-agent/src/tasks/placer.rs
+++ b/crates/teaseltrack-agent/src/tasks/placer.rs
@@ -20,7 +20,7 @@
     clients::{ControlClients, deadline},
     node::NodeHandle,
 };
-use teaseltrack_wire::control::{RoomAnswer, RoomRequest};
+use teaseltrack_wire::control::{ReservationRequest, ReservationResponse};
 
 /// Time for an agent to answer.
 const ROOM_TIMEOUT: Duration = Duration::from_millis(300);
@@ -53,7 +53,7 @@
 }
 
 struct Candidate {
-    request: RoomRequest,
+    request: ReservationRequest,
     reason: String,
 }
 
@@ -156,7 +156,8 @@
                 continue;
             };
             self.hints.take(&instance, &resources);
-            let request = RoomRequest { task: id.clone(), attempt: task.attempt + 1, resources };
+            let request =
+                ReservationRequest { task: id.clone(), attempt: task.attempt + 1, resources };
             let reason = format!("roomier of two among {} known instances", self.hints.len());
             chosen.entry(instance).or_default().push(Candidate { request, reason });
         }
@@ -203,9 +204,9 @@
         &mut self,
         instance: &str,
         candidates: Vec<Candidate>,
-        answer: RoomAnswer,
+        answer: ReservationResponse,
     ) -> Vec<Decision> {
-        self.hints.report(instance, answer.capacity, answer.room);
+        self.hints.report(instance, answer.capacity, answer.available);
         let Some(incarnation) = answer.incarnation else { return Vec::new() };
         self.incarnations.insert(instance.to_owned(), incarnation);
         let placement = Placement { instance: instance.to_owned(), incarnation };
@@ -226,8 +227,8 @@
 async fn ask_room(
     clients: &ControlClients,
     address: SocketAddr,
-    requests: Vec<RoomRequest>,
-) -> Option<RoomAnswer> {
+    requests: Vec<ReservationRequest>,
+) -> Option<ReservationResponse> {
     let client = clients.client(address).await.ok()?;
     match client.reserve_room(deadline(ROOM_TIMEOUT), requests).await {
         Ok(answer) => answer.ok(),
--- a/crates/teaseltrack-agent/src/tasks/reporter.rs
+++ b/crates/teaseltrack-agent/src/tasks/reporter.rs
@@ -87,7 +87,7 @@
             let ended: Vec<AttemptKey> = batch
                 .reports
                 .into_iter()
-                .filter(|report| report.event.is_end())
+                .filter(|report| report.event.is_terminal())
                 .map(|report| AttemptKey { task: report.task, attempt: report.attempt })
                 .collect();
             if !ended.is_empty() {
@@ -106,7 +106,7 @@
             instance: self.instance.clone(),
             incarnation: first.incarnation,
             capacity: first.capacity,
-            room: first.room,
+            available: first.room,
             shard,
             reports: vec![first.report],
         };
@@ -114,7 +114,7 @@
             && let Ok(next) = receiver.try_recv()
         {
             batch.incarnation = next.incarnation;
-            batch.room = next.room;
+            batch.available = next.room;
             batch.reports.push(next.report);
         }
         batch
--- a/crates/teaseltrack-cell/src/candidate.rs
+++ b/crates/teaseltrack-cell/src/candidate.rs
@@ -12,7 +12,7 @@
     cell::ownership::{OwnerRecord, OwnershipWatch, candidate_delay},
     ids::InstanceId,
 };
-use teaseltrack_platform::store::{CommitAnswer, Condition, Row, StoreError, Transaction, Write};
+use teaseltrack_platform::store::{CommitOutcome, Condition, Row, StoreError, Transaction, Write};
 use tokio::{
     sync::watch,
     time::{sleep, timeout},
@@ -155,8 +155,8 @@
         };
         let sent_at = self.context.clock.now();
         match self.context.store.commit(transaction).await? {
-            CommitAnswer::Conflict { .. } => Ok(None),
-            CommitAnswer::Committed { version } => {
+            CommitOutcome::Conflict { .. } => Ok(None),
+            CommitOutcome::Committed { version } => {
                 info!(self.context.logger, "cell taken"; "epoch" => record.epoch);
                 self.tell_owner(&record);
                 Ok(Some(self.taken(record, version, sent_at, foreign_grants_end)))
--- a/crates/teaseltrack-cell/src/entry.rs
+++ b/crates/teaseltrack-cell/src/entry.rs
@@ -15,7 +15,9 @@
     clock::SharedClock,
 };
 use teaseltrack_daemon::metrics::Metrics;
-use teaseltrack_platform::store::{CommitAnswer, Condition, Store, StoreError, Transaction, Write};
+use teaseltrack_platform::store::{
+    CommitOutcome, Condition, Store, StoreError, Transaction, Write,
+};
 use teaseltrack_wire::cell::JobLookup;
 use tokio::{
     sync::watch,
@@ -127,7 +129,7 @@
             loop {
                 open_calls += 1;
                 match self.store.commit(transaction.clone()).await {
-                    Ok(CommitAnswer::Committed { .. } | CommitAnswer::Conflict { .. }) => return,
+                    Ok(CommitOutcome::Committed { .. } | CommitOutcome::Conflict { .. }) => return,
                     Err(StoreError::Refused { .. }) => open_calls -= 1,
                     Err(_) => {}
                 }
--- a/crates/teaseltrack-cell/src/owner/committer.rs
+++ b/crates/teaseltrack-cell/src/owner/committer.rs
@@ -10,7 +10,9 @@
     cell::{ownership::OwnerRecord, progress::JobProgress},
     clock::SharedClock,
 };
-use teaseltrack_platform::store::{CommitAnswer, Condition, Store, StoreError, Transaction, Write};
+use teaseltrack_platform::store::{
+    CommitOutcome, Condition, Store, StoreError, Transaction, Write,
+};
 use tokio::time::sleep;
 
 use crate::{
@@ -93,7 +95,7 @@
             conditions: vec![Condition { key: OWNER_KEY.to_owned(), version: self.version }],
             writes: writes.to_vec(),
         };
-        if let CommitAnswer::Committed { version } = self.store.commit(transaction).await? {
+        if let CommitOutcome::Committed { version } = self.store.commit(transaction).await? {
             return Ok(Some(version));
         }
         let Some(row) = self.store.read(OWNER_KEY).await? else { return Ok(None) };
--- a/crates/teaseltrack-cell/tests/agent.rs
+++ b/crates/teaseltrack-cell/tests/agent.rs
@@ -87,7 +87,7 @@
         contact: watch::channel(None).0,
         has_open_ends: watch::channel(false).0,
         logger: silent(),
-        metrics: Metrics::off(),
+        metrics: Metrics::scrape_only(),
     };
     let closing = CancellationToken::new();
     tokio::spawn(run_agent(context, events.clone(), inbox, closing.clone()));
--- a/crates/teaseltrack-cli/src/client.rs
+++ b/crates/teaseltrack-cli/src/client.rs
@@ -8,7 +8,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use snafu::{ResultExt, Snafu};
 use teaseltrack::{ids::Revision, journal::ChainError, outcome::Outcome};
-use teaseltrack_daemon::http_client::{CallError, HttpClient, read_answer};
+use teaseltrack_daemon::http_client::{CallError, HttpClient, parse_response};
 use teaseltrack_wire::headers;
 
 /// Exit code of a refusal.
@@ -114,6 +114,6 @@
             .body(Full::<Bytes>::from(text.unwrap_or_default()))
             .map_err(|error| CliError::BadInput { message: error.to_string() })?;
         let answer = self.client.send(self.entry, request).await.context(CallSnafu)?;
-        read_answer(&answer).context(CallSnafu)
+        parse_response(&answer).context(CallSnafu)
     }
 }
--- a/crates/teaseltrack-daemon/src/health.rs
+++ b/crates/teaseltrack-daemon/src/health.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpListener;
 
 use crate::{
-    http_server::{AnswerBody, json_response, serve},
+    http_server::{ResponseBody, json_response, serve},
     problem::Problem,
     shutdown::Shutdown,
 };
@@ -35,7 +35,7 @@
     path: &str,
     shutdown: &Shutdown,
     status: &StatusReport,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     if method != Method::GET {
         return Problem::new(ErrorKind::InvalidInput, "method: must be GET").into_response();
     }
--- a/crates/teaseltrack-daemon/src/http_client.rs
+++ b/crates/teaseltrack-daemon/src/http_client.rs
@@ -36,7 +36,7 @@
     },
     /// The call was sent and its answer never came, or stopped short.
     #[snafu(display("no answer from {address}"))]
-    AnswerLost {
+    ResponseLost {
         /// Address that was called.
         address: SocketAddr,
     },
@@ -59,7 +59,7 @@
     pub fn kind(&self) -> ErrorKind {
         match self {
             Self::Unreachable { .. } => ErrorKind::Unreachable,
-            Self::AnswerLost { .. } => ErrorKind::AnswerLost,
+            Self::ResponseLost { .. } => ErrorKind::AnswerLost,
             Self::Refused { problem } => problem.reason,
             Self::Unreadable { .. } => ErrorKind::Internal,
         }
@@ -68,7 +68,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct BufferedResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// Headers.
@@ -107,25 +107,29 @@
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let exchange = async {
             let response = self.client.request(request).await.map_err(|error| {
                 if error.is_connect() {
                     CallError::Unreachable { address }
                 } else {
-                    CallError::AnswerLost { address }
+                    CallError::ResponseLost { address }
                 }
             })?;
             let (parts, body) = response.into_parts();
             let body = Limited::new(body, MAX_ANSWER_BYTES)
                 .collect()
                 .await
-                .map_err(|_| CallError::AnswerLost { address })?;
-            Ok(Answer { status: parts.status, headers: parts.headers, body: body.to_bytes() })
+                .map_err(|_| CallError::ResponseLost { address })?;
+            Ok(BufferedResponse {
+                status: parts.status,
+                headers: parts.headers,
+                body: body.to_bytes(),
+            })
         };
         match timeout(self.timeout, exchange).await {
             Ok(result) => result,
-            Err(_) => AnswerLostSnafu { address }.fail(),
+            Err(_) => ResponseLostSnafu { address }.fail(),
         }
     }
 
@@ -148,7 +152,7 @@
             .header(CONTENT_TYPE, "application/json")
             .body(Full::from(text))
             .map_err(|error| refused(ErrorKind::InvalidInput, error.to_string()))?;
-        read_answer(&self.send(address, request).await?)
+        parse_response(&self.send(address, request).await?)
     }
 
     /// Reads a JSON answer to a GET; a status of 400 or more is a refusal.
@@ -164,7 +168,7 @@
         let request = Request::get(format!("http://{address}{path_and_query}"))
             .body(Full::default())
             .map_err(|error| refused(ErrorKind::InvalidInput, error.to_string()))?;
-        read_answer(&self.send(address, request).await?)
+        parse_response(&self.send(address, request).await?)
     }
 }
 
@@ -177,14 +181,14 @@
 /// # Errors
 ///
 /// A refusal, or an unreadable body.
-pub fn read_answer<T: DeserializeOwned>(answer: &Answer) -> Result<T, CallError> {
-    if answer.status.as_u16() < 400 {
-        let body: &[u8] = if answer.body.is_empty() { b"null" } else { &answer.body };
+pub fn parse_response<T: DeserializeOwned>(response: &BufferedResponse) -> Result<T, CallError> {
+    if response.status.as_u16() < 400 {
+        let body: &[u8] = if response.body.is_empty() { b"null" } else { &response.body };
         return serde_json::from_slice(body).context(UnreadableSnafu);
     }
-    let problem = serde_json::from_slice(&answer.body).unwrap_or_else(|_| {
-        let text = String::from_utf8_lossy(&answer.body);
-        Problem::new(ErrorKind::Internal, format!("status {}: {text}", answer.status))
+    let problem = serde_json::from_slice(&response.body).unwrap_or_else(|_| {
+        let text = String::from_utf8_lossy(&response.body);
+        Problem::new(ErrorKind::Internal, format!("status {}: {text}", response.status))
     });
     Err(CallError::Refused { problem: Box::new(problem) })
 }
--- a/crates/teaseltrack-daemon/src/http_server.rs
+++ b/crates/teaseltrack-daemon/src/http_server.rs
@@ -22,7 +22,7 @@
 use crate::problem::Problem;
 
 /// Body of an answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, BodyError>;
 /// Why the body of an answer stopped short.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
@@ -34,12 +34,12 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A body that is there as a whole.
-pub fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
+pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// An answer in JSON.
-pub fn json_response<T: Serialize>(status: u16, value: &T) -> Response<AnswerBody> {
+pub fn json_response<T: Serialize>(status: u16, value: &T) -> Response<ResponseBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full_body(text));
     *response.status_mut() = http::StatusCode::from_u16(status).unwrap_or_default();
@@ -86,7 +86,7 @@
     handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let permits = Arc::new(Semaphore::new(max_connections));
     let graceful = GracefulShutdown::new();
--- a/crates/teaseltrack-daemon/src/metrics.rs
+++ b/crates/teaseltrack-daemon/src/metrics.rs
@@ -28,7 +28,7 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-use crate::http_server::{AnswerBody, full_body, serve};
+use crate::http_server::{ResponseBody, full_body, serve};
 
 /// Prefix of all metrics.
 const PREFIX: &str = "teaseltrack";
@@ -78,7 +78,7 @@
     ///
     /// The local socket can't be opened.
     pub fn new(settings: &MetricSettings) -> std::io::Result<Self> {
-        let Some(address) = settings.statsd_address else { return Ok(Self::off()) };
+        let Some(address) = settings.statsd_address else { return Ok(Self::scrape_only()) };
         let socket = UdpSocket::bind(("0.0.0.0", 0))?;
         socket.set_nonblocking(true)?;
         let sink = BufferedUdpMetricSink::from(address, socket).map_err(std::io::Error::other)?;
@@ -86,7 +86,7 @@
     }
 
     /// Nothing is pushed.
-    pub fn off() -> Self {
+    pub fn scrape_only() -> Self {
         Self::to(StatsdClient::from_sink(PREFIX, NopMetricSink))
     }
 
@@ -176,7 +176,7 @@
     serve(listener, MAX_SCRAPERS, closing, handler).await;
 }
 
-fn scrape(metrics: &Metrics) -> Response<AnswerBody> {
+fn scrape(metrics: &Metrics) -> Response<ResponseBody> {
     let Ok(text) = metrics.text() else {
         let mut response = Response::new(full_body("a metric can't be written as text"));
         *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
--- a/crates/teaseltrack-daemon/src/problem.rs
+++ b/crates/teaseltrack-daemon/src/problem.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use teaseltrack::outcome::{ErrorKind, Outcome};
 
-use crate::http_server::{AnswerBody, full_body};
+use crate::http_server::{ResponseBody, full_body};
 
 const PROBLEM_JSON: HeaderValue = HeaderValue::from_static("application/problem+json");
 
@@ -62,7 +62,7 @@
     }
 
     /// The answer to the caller.
-    pub fn into_response(self) -> Response<AnswerBody> {
+    pub fn into_response(self) -> Response<ResponseBody> {
         let text = serde_json::to_vec(&self).unwrap_or_default();
         let mut response = Response::new(full_body(Bytes::from(text)));
         *response.status_mut() = http::StatusCode::from_u16(self.status).unwrap_or_default();
--- a/crates/teaseltrack-daemon/src/settings.rs
+++ b/crates/teaseltrack-daemon/src/settings.rs
@@ -142,7 +142,7 @@
 /// # Errors
 ///
 /// The key, if its address is `0.0.0.0` or `::`.
-pub fn check_concrete(key: &'static str, address: SocketAddr) -> Result<(), SettingsError> {
+pub fn check_specified_ip(key: &'static str, address: SocketAddr) -> Result<(), SettingsError> {
     let message = format!("{address} must name the instance's own IP");
     ensure!(!address.ip().is_unspecified(), ImpossibleSnafu { key, message });
     Ok(())
--- a/crates/teaseltrack-daemon/tests/metrics.rs
+++ b/crates/teaseltrack-daemon/tests/metrics.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn text_shows_counts_by_tag() {
-    let metrics = Metrics::off();
+    let metrics = Metrics::scrape_only();
     metrics.count_tagged("submissions", "outcome", "accepted");
     metrics.count_tagged("submissions", "outcome", "accepted");
     metrics.count_tagged("submissions", "outcome", "refused");
@@ -28,7 +28,7 @@
 
 #[test]
 fn text_shows_the_last_level() {
-    let metrics = Metrics::off();
+    let metrics = Metrics::scrape_only();
     metrics.gauge("jobs_open", 7);
     metrics.gauge("jobs_open", 3);
     assert!(metrics.text().unwrap().contains("teaseltrack_jobs_open 3"));
@@ -36,7 +36,7 @@
 
 #[test]
 fn text_shows_durations_in_seconds() {
-    let metrics = Metrics::off();
+    let metrics = Metrics::scrape_only();
     metrics.time("commit", Duration::from_millis(3));
     let text = metrics.text().unwrap();
     assert!(text.contains("teaseltrack_commit_seconds_count 1"), "{text}");
@@ -46,7 +46,7 @@
 
 #[tokio::test]
 async fn serve_metrics_answers_a_scrape() {
-    let metrics = Metrics::off();
+    let metrics = Metrics::scrape_only();
     metrics.count("starts_refused");
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/teaseltrack-entry/src/callers/server.rs
+++ b/crates/teaseltrack-entry/src/callers/server.rs
@@ -19,7 +19,7 @@
     routing::TargetKey,
 };
 use teaseltrack_daemon::{
-    http_server::{AnswerBody, BodyError, read_body},
+    http_server::{BodyError, ResponseBody, read_body},
     metrics::Metrics,
     problem::Problem,
     shutdown::Shutdown,
@@ -91,7 +91,7 @@
 
 impl CallerServer {
     /// Answers one request.
-    pub async fn answer(self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub async fn answer(self, request: Request<Incoming>) -> Response<ResponseBody> {
         let (parts, body) = request.into_parts();
         let mut response = match parse_request(&parts) {
             Ok(request) => {
@@ -114,7 +114,7 @@
         response
     }
 
-    fn refuse(&self, problem: Problem, request_id: &str, span: &HopSpan) -> Response<AnswerBody> {
+    fn refuse(&self, problem: Problem, request_id: &str, span: &HopSpan) -> Response<ResponseBody> {
         self.metrics.count_tagged("answers", "reason", problem.reason.name());
         span.set("reason", problem.reason.name());
         problem.with_request_id(request_id).into_response()
@@ -125,7 +125,7 @@
         request: CallerRequest,
         body: Incoming,
         span: &HopSpan,
-    ) -> Result<Response<AnswerBody>, Problem> {
+    ) -> Result<Response<ResponseBody>, Problem> {
         let received_at = self.attempts.clock.now();
         let configuration = self.node.configuration();
         let Some(service) = configuration.service(&request.service) else {
@@ -282,7 +282,7 @@
     }
 
     /// Streams an answer to the caller; one that stops short ends in a reset, never as if whole.
-    fn stream_answer(&self, ready: ReadyRequest, begun: BegunAnswer) -> Response<AnswerBody> {
+    fn stream_answer(&self, ready: ReadyRequest, begun: BegunAnswer) -> Response<ResponseBody> {
         let (sender, receiver) = mpsc::channel(ANSWER_CHUNKS);
         let mut response = response_head(&begun.head);
         if let Ok(request_id) = HeaderValue::from_str(&ready.request.request_id) {
--- a/crates/teaseltrack-entry/src/operators/commands.rs
+++ b/crates/teaseltrack-entry/src/operators/commands.rs
@@ -27,7 +27,7 @@
     inbox::InboxCommand,
     keys,
     store::{Condition, Row, Store, StoreError, Write},
-    stream::{Append, Appended, Stream},
+    stream::{Append, AppendOutcome, Stream},
 };
 use teaseltrack_wire::operators::SubmittedRecord;
 use tokio::time::sleep;
@@ -177,7 +177,7 @@
             owner: None,
             conditions,
             writes,
-            give_up_at: Some(self.clock.now() + GIVE_UP),
+            retry_deadline: Some(self.clock.now() + GIVE_UP),
         };
         append.conditions.push(Condition { key: key.clone(), version });
         append.writes.push(Write::put(key.clone(), &record));
@@ -187,12 +187,12 @@
             append.writes.push(Write::put(keys::inbox_command(shard, record.revision), &command));
         }
         match stream.append(&self.store, &self.clock, append).await? {
-            Appended::Committed(_) => Ok(record),
-            Appended::Conflict { key: lost } if lost.starts_with("notice/") => {
+            AppendOutcome::Committed(_) => Ok(record),
+            AppendOutcome::Conflict { key: lost } if lost.starts_with("notice/") => {
                 let detail = format!("{lost}: acted on already");
                 Err(Problem::new(ErrorKind::AlreadyExists, detail).into())
             }
-            Appended::HeadMoved | Appended::Conflict { .. } => Err(ChangeFailure::Raced),
+            AppendOutcome::HeadMoved | AppendOutcome::Conflict { .. } => Err(ChangeFailure::Raced),
         }
     }
 
--- a/crates/teaseltrack-entry/src/operators/server.rs
+++ b/crates/teaseltrack-entry/src/operators/server.rs
@@ -15,7 +15,7 @@
     record::{Record, RecordKind},
 };
 use teaseltrack_daemon::{
-    http_server::{AnswerBody, json_response, read_json},
+    http_server::{ResponseBody, json_response, read_json},
     problem::Problem,
 };
 use teaseltrack_wire::{headers, operators::SubmittedRecord};
@@ -28,10 +28,10 @@
 /// Largest record, in bytes.
 const MAX_RECORD_BYTES: usize = 256 << 10;
 
-type Answer = Result<Response<AnswerBody>, Problem>;
+type Answer = Result<Response<ResponseBody>, Problem>;
 
 /// Answers one command or query.
-pub async fn answer(context: CommandContext, request: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn answer(context: CommandContext, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let path = parts.uri.path().to_owned();
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
--- a/crates/teaseltrack-entry/src/options/config.rs
+++ b/crates/teaseltrack-entry/src/options/config.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use teaseltrack_daemon::settings::{
     HealthSettings, InstanceSettings, ObservationSettings, PlatformSettings, SettingsError,
-    check_concrete, check_positive,
+    check_positive, check_specified_ip,
 };
 use teaseltrack_node::settings::ControlSettings;
 
@@ -76,7 +76,7 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         self.instance.check()?;
         self.control.check()?;
-        check_concrete("callers.address", self.callers.address)?;
+        check_specified_ip("callers.address", self.callers.address)?;
         check_positive("callers.max_connections", self.callers.max_connections as f64)?;
         check_positive("callers.max_body_bytes", self.callers.max_body_bytes as f64)?;
         self.platform.check()?;
--- a/crates/teaseltrack-lab/src/platform.rs
+++ b/crates/teaseltrack-lab/src/platform.rs
@@ -19,7 +19,7 @@
 use serde_json::json;
 use teaseltrack::{outcome::ErrorKind, quota::TokenBucket};
 use teaseltrack_daemon::{
-    http_server::{AnswerBody, json_response, read_json},
+    http_server::{ResponseBody, json_response, read_json},
     problem::Problem,
 };
 use teaseltrack_platform::{http_adapter::STORE_PATH, store::StoreCall};
@@ -138,7 +138,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Option<Response<AnswerBody>> {
+    async fn answer(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
         let path = request.uri().path().to_owned();
         if request.method() != Method::POST {
             return Some(refused(ErrorKind::InvalidInput, "method: must be POST"));
@@ -159,7 +159,7 @@
         }
     }
 
-    async fn serve(&self, call: StoreCall) -> Option<Response<AnswerBody>> {
+    async fn serve(&self, call: StoreCall) -> Option<Response<ResponseBody>> {
         let faults = self.lock().faults;
         match faults.outage {
             Outage::None => {}
@@ -209,7 +209,7 @@
     key.split(['/', '-']).next().unwrap_or_default().to_owned()
 }
 
-fn refused(kind: ErrorKind, detail: &str) -> Response<AnswerBody> {
+fn refused(kind: ErrorKind, detail: &str) -> Response<ResponseBody> {
     Problem::new(kind, detail).into_response()
 }
 
--- a/crates/teaseltrack-lab/src/platform/table.rs
+++ b/crates/teaseltrack-lab/src/platform/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use teaseltrack_platform::store::{
-    ChangePage, CommitAnswer, Row, RowChange, StoreCall, StoreReply, Transaction,
+    ChangePage, CommitOutcome, Row, RowChange, StoreCall, StoreReply, Transaction,
 };
 
 #[derive(Clone, Debug)]
@@ -70,11 +70,11 @@
         ChangePage { changes, version: self.version, is_history_lost: false }
     }
 
-    fn commit(&mut self, transaction: Transaction) -> CommitAnswer {
+    fn commit(&mut self, transaction: Transaction) -> CommitOutcome {
         for condition in &transaction.conditions {
             let version = self.rows.get(&condition.key).map_or(0, |stored| stored.version);
             if version != condition.version {
-                return CommitAnswer::Conflict { key: condition.key.clone() };
+                return CommitOutcome::Conflict { key: condition.key.clone() };
             }
         }
         self.version += 1;
@@ -89,7 +89,7 @@
                 }
             }
         }
-        CommitAnswer::Committed { version }
+        CommitOutcome::Committed { version }
     }
 }
 
--- a/crates/teaseltrack-lab/src/server.rs
+++ b/crates/teaseltrack-lab/src/server.rs
@@ -5,7 +5,7 @@
 use http::{Request, Response};
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
 use hyper_util::rt::TokioIo;
-use teaseltrack_daemon::http_server::AnswerBody;
+use teaseltrack_daemon::http_server::ResponseBody;
 use tokio::{net::TcpListener, task::JoinSet};
 use tokio_util::sync::CancellationToken;
 
@@ -13,7 +13,7 @@
 pub async fn serve_cuttable<H, F>(listener: TcpListener, closing: CancellationToken, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Option<Response<AnswerBody>>> + Send + 'static,
+    F: Future<Output = Option<Response<ResponseBody>>> + Send + 'static,
 {
     let mut connections = JoinSet::new();
     loop {
--- a/crates/teaseltrack-lab/src/target.rs
+++ b/crates/teaseltrack-lab/src/target.rs
@@ -23,7 +23,7 @@
 use teaseltrack_agent::announce::TargetAnnouncement;
 use teaseltrack_daemon::{
     http_client::HttpClient,
-    http_server::{AnswerBody, full_body, json_response, read_body, read_json},
+    http_server::{ResponseBody, full_body, json_response, read_body, read_json},
 };
 use teaseltrack_wire::headers;
 use tokio::{
@@ -172,7 +172,7 @@
         }
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Option<Response<AnswerBody>> {
+    async fn answer(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
         if request.uri().path() == BEHAVIOUR_PATH {
             return Some(match read_json(request.into_body(), MAX_BODY_BYTES).await {
                 Ok(behaviour) => {
@@ -185,7 +185,7 @@
         self.run(request).await
     }
 
-    async fn run(self, request: Request<Incoming>) -> Option<Response<AnswerBody>> {
+    async fn run(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
         let behaviour = *self.behaviour.lock().unwrap_or_else(PoisonError::into_inner);
         let (parts, body) = request.into_parts();
         let request_id = parts.headers.get(headers::REQUEST_ID).cloned();
@@ -230,7 +230,7 @@
 }
 
 /// A body that stops short after its first byte has gone out.
-fn cut_body(text: Vec<u8>) -> AnswerBody {
+fn cut_body(text: Vec<u8>) -> ResponseBody {
     let first = Bytes::from(text).slice(..1);
     let begun = stream::once(ready(Ok(Frame::data(first))));
     let cut = stream::once(async {
--- a/crates/teaseltrack-lab/src/worker.rs
+++ b/crates/teaseltrack-lab/src/worker.rs
@@ -16,11 +16,12 @@
 use serde_json::json;
 use teaseltrack::{ids::Incarnation, outcome::ErrorKind, placement::Resources};
 use teaseltrack_daemon::{
-    http_server::{AnswerBody, json_response, read_json},
+    http_server::{ResponseBody, json_response, read_json},
     problem::Problem,
 };
 use teaseltrack_platform::worker::{
-    AttemptKey, StartCall, StopAnswer, StopCall, SyncAnswer, SyncCall, WorkerAttempt, WorkerState,
+    AttemptKey, StartRequest, StopRequest, StopResponse, SyncRequest, SyncResponse, WorkerAttempt,
+    WorkerAttemptState,
 };
 use tokio::{
     net::TcpListener,
@@ -57,7 +58,7 @@
 }
 
 struct Attempt {
-    state: WorkerState,
+    state: WorkerAttemptState,
     progress_ms: f64,
     run_ms: f64,
     resources: Resources,
@@ -135,7 +136,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Option<Response<AnswerBody>> {
+    async fn answer(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
         if request.method() != Method::POST {
             return Some(refused(ErrorKind::InvalidInput, "method: must be POST"));
         }
@@ -157,9 +158,9 @@
     }
 }
 
-type Answer = Result<Response<AnswerBody>, Problem>;
+type Answer = Result<Response<ResponseBody>, Problem>;
 
-fn refused(kind: ErrorKind, detail: &str) -> Response<AnswerBody> {
+fn refused(kind: ErrorKind, detail: &str) -> Response<ResponseBody> {
     Problem::new(kind, detail).into_response()
 }
 
@@ -185,7 +186,7 @@
         Ok(())
     }
 
-    fn sync(&mut self, call: SyncCall) -> Answer {
+    fn sync(&mut self, call: SyncRequest) -> Answer {
         self.check_holder(call.holder)?;
         self.step();
         if let Some(incarnation) = call.incarnation {
@@ -198,7 +199,7 @@
         self.share = call.share.clamp(0.0, 1.0);
         for key in &call.forget {
             let is_over = self.attempts.get(key).is_some_and(|attempt| {
-                !matches!(attempt.state, WorkerState::Running | WorkerState::Paused)
+                !matches!(attempt.state, WorkerAttemptState::Running | WorkerAttemptState::Paused)
             });
             if is_over {
                 self.attempts.remove(key);
@@ -206,10 +207,10 @@
         }
         self.step();
         let attempts = self.attempts.iter().map(|(key, attempt)| report(key, attempt)).collect();
-        ok(&SyncAnswer { now_ms: self.now_ms(), incarnation: self.incarnation, attempts })
+        ok(&SyncResponse { now_ms: self.now_ms(), incarnation: self.incarnation, attempts })
     }
 
-    fn start(&mut self, call: StartCall) -> Answer {
+    fn start(&mut self, call: StartRequest) -> Answer {
         self.check_holder(call.holder)?;
         let is_late = call.not_after_ms.is_some_and(|limit| self.now_ms() > limit);
         if is_late || self.incarnation != Some(call.incarnation) {
@@ -221,9 +222,9 @@
         let progress_ms =
             call.checkpoint.and_then(|checkpoint| checkpoint.parse().ok()).unwrap_or(0.0);
         let state = if self.options.is_failing {
-            WorkerState::Failed("the worker is broken".to_owned())
+            WorkerAttemptState::Failed("the worker is broken".to_owned())
         } else {
-            WorkerState::Paused
+            WorkerAttemptState::Paused
         };
         let attempt = Attempt {
             state,
@@ -236,18 +237,18 @@
         ok(&json!(null))
     }
 
-    fn stop(&mut self, call: StopCall) -> Answer {
+    fn stop(&mut self, call: StopRequest) -> Answer {
         self.check_holder(call.holder)?;
         self.step();
         let attempt = self.attempts.entry(call.key.clone()).or_insert(Attempt {
-            state: WorkerState::Stopped,
+            state: WorkerAttemptState::Stopped,
             progress_ms: 0.0,
             run_ms: 0.0,
             resources: Resources::default(),
         });
-        let was_running = attempt.state == WorkerState::Running;
-        if matches!(attempt.state, WorkerState::Running | WorkerState::Paused) {
-            attempt.state = WorkerState::Stopped;
+        let was_running = attempt.state == WorkerAttemptState::Running;
+        if matches!(attempt.state, WorkerAttemptState::Running | WorkerAttemptState::Paused) {
+            attempt.state = WorkerAttemptState::Stopped;
         }
         let state = attempt.state.clone();
         let is_known = attempt.run_ms > 0.0;
@@ -256,12 +257,12 @@
             self.tell_halted(&call.key, progress_ms, false);
         }
         let checkpoint = (call.is_checkpointed && is_known).then(|| progress_ms.to_string());
-        ok(&StopAnswer { state, checkpoint })
+        ok(&StopResponse { state, checkpoint })
     }
 
     fn drop_all(&mut self) {
         for (key, attempt) in std::mem::take(&mut self.attempts) {
-            if attempt.state == WorkerState::Running {
+            if attempt.state == WorkerAttemptState::Running {
                 self.tell_halted(&key, attempt.progress_ms, false);
             }
         }
@@ -283,20 +284,20 @@
     fn step_one(&mut self, key: &AttemptKey, is_leased: bool, progress_ms: f64) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         match (&attempt.state, is_leased) {
-            (WorkerState::Running, false) => {
-                attempt.state = WorkerState::Paused;
+            (WorkerAttemptState::Running, false) => {
+                attempt.state = WorkerAttemptState::Paused;
                 let progress_ms = attempt.progress_ms;
                 self.tell_halted(key, progress_ms, false);
             }
-            (WorkerState::Paused, true) => {
-                attempt.state = WorkerState::Running;
+            (WorkerAttemptState::Paused, true) => {
+                attempt.state = WorkerAttemptState::Running;
                 let progress_ms = attempt.progress_ms;
                 self.tell_running(key, progress_ms);
             }
-            (WorkerState::Running, true) => {
+            (WorkerAttemptState::Running, true) => {
                 attempt.progress_ms += progress_ms;
                 if attempt.progress_ms >= attempt.run_ms {
-                    attempt.state = WorkerState::Done;
+                    attempt.state = WorkerAttemptState::Done;
                     let progress_ms = attempt.progress_ms;
                     self.tell_halted(key, progress_ms, true);
                 }
--- a/crates/teaseltrack-lab/tests/attempts.rs
+++ b/crates/teaseltrack-lab/tests/attempts.rs
@@ -32,7 +32,7 @@
 use teaseltrack_platform::{
     http_adapter::http_adapter,
     store::{Store, StoreBudget},
-    worker::{AttemptKey, StartCall, WorkerClient},
+    worker::{AttemptKey, StartRequest, WorkerClient},
 };
 use teaseltrack_wire::control::{AttemptEvent, ShardOwner, StartOrder};
 use tokio::{
@@ -81,7 +81,7 @@
     earlier.sync(None, None, 1.0, Vec::new()).await.unwrap();
     let deadline = Some(Instant::now() + Duration::from_secs(60));
     earlier.sync(Some(INCARNATION), deadline, 1.0, Vec::new()).await.unwrap();
-    let call = StartCall {
+    let call = StartRequest {
         holder: earlier.holder(),
         incarnation: INCARNATION,
         key: key(),
@@ -120,7 +120,7 @@
         CapacityContext {
             logger: logs::silent(),
             clock: clock.clone(),
-            metrics: Metrics::off(),
+            metrics: Metrics::scrape_only(),
             node: spawn_node(member, clock.clone(), logs::silent(), ahead),
             clients: ControlClients::new(Arc::new(ByteCount::default())),
         },
--- a/crates/teaseltrack-lab/tests/history.rs
+++ b/crates/teaseltrack-lab/tests/history.rs
@@ -19,7 +19,7 @@
     http_adapter::http_adapter,
     shard_state::{load_shard, write_snapshot},
     store::{Store, StoreBudget},
-    stream::{Append, Appended, Stream},
+    stream::{Append, AppendOutcome, Stream},
 };
 
 const SHARD: ShardNumber = 3;
@@ -46,7 +46,7 @@
         owner: None,
         conditions: Vec::new(),
         writes: Vec::new(),
-        give_up_at: None,
+        retry_deadline: None,
     }
 }
 
@@ -95,9 +95,9 @@
     );
     let outcomes = [first.unwrap(), second.unwrap()];
     let committed =
-        outcomes.iter().filter(|outcome| matches!(outcome, Appended::Committed(_))).count();
+        outcomes.iter().filter(|outcome| matches!(outcome, AppendOutcome::Committed(_))).count();
     assert_eq!(committed, 1);
-    assert!(outcomes.contains(&Appended::HeadMoved));
+    assert!(outcomes.contains(&AppendOutcome::HeadMoved));
     assert_eq!(authors(&store, "shard-0001").await.len(), 1);
 }
 
@@ -114,7 +114,7 @@
                 for _ in 0..15 {
                     let mut stream = Stream::open(&store, "shard-0002").await.unwrap();
                     let outcome = stream.append(&store, &clock, append(&author, Vec::new())).await;
-                    committed += usize::from(matches!(outcome, Ok(Appended::Committed(_))));
+                    committed += usize::from(matches!(outcome, Ok(AppendOutcome::Committed(_))));
                 }
                 (author, committed)
             })
@@ -141,7 +141,7 @@
     for decision in std::iter::once(job(tasks)).chain((0..tasks).map(parked)) {
         state.apply(&decision).unwrap();
         let outcome = stream.append(&store, &clock, append("owner", vec![decision])).await.unwrap();
-        assert!(matches!(outcome, Appended::Committed(_)));
+        assert!(matches!(outcome, AppendOutcome::Committed(_)));
     }
     let before = authors(&store, &name).await;
     let sequence = stream.head().sequence;
--- a/crates/teaseltrack-node/src/control_server.rs
+++ b/crates/teaseltrack-node/src/control_server.rs
@@ -15,7 +15,8 @@
 };
 use teaseltrack_daemon::byte_count::{ByteCount, CountedStream};
 use teaseltrack_wire::control::{
-    Control, Gossip, ReportBatch, RoomAnswer, RoomRequest, ShardOwner, StartOrder, StopOrder,
+    Control, Gossip, ReportBatch, ReservationRequest, ReservationResponse, ShardOwner, StartOrder,
+    StopOrder,
 };
 use tokio::{
     net::TcpListener,
@@ -42,7 +43,7 @@
     /// The shard's inbox holds something new.
     WakeShard(ShardNumber),
     /// Room is asked for.
-    ReserveRoom(Vec<RoomRequest>, oneshot::Sender<Result<RoomAnswer, ErrorKind>>),
+    ReserveRoom(Vec<ReservationRequest>, oneshot::Sender<Result<ReservationResponse, ErrorKind>>),
     /// Committed assignments are to start.
     StartTasks(ShardOwner, Vec<StartOrder>, oneshot::Sender<Result<(), ErrorKind>>),
     /// Attempts are to stop.
@@ -99,8 +100,8 @@
     async fn reserve_room(
         self,
         _: Context,
-        requests: Vec<RoomRequest>,
-    ) -> Result<RoomAnswer, ErrorKind> {
+        requests: Vec<ReservationRequest>,
+    ) -> Result<ReservationResponse, ErrorKind> {
         self.ask_tasks(|reply| TaskCall::ReserveRoom(requests, reply)).await
     }
 
--- a/crates/teaseltrack-node/src/node.rs
+++ b/crates/teaseltrack-node/src/node.rs
@@ -215,7 +215,7 @@
     fn gossip(&mut self) -> Gossip {
         Gossip {
             sender: self.membership.own().clone(),
-            news: self.membership.take_news(MESSAGE_BUDGET_BYTES),
+            updates: self.membership.take_news(MESSAGE_BUDGET_BYTES),
             digest_hash: self.membership.digest_hash(),
             revision: self.configuration.revision(),
         }
@@ -223,7 +223,7 @@
 
     fn take_in(&mut self, gossip: &Gossip) {
         let now = self.clock.now();
-        let mut news = gossip.news.clone();
+        let mut news = gossip.updates.clone();
         news.push(gossip.sender.clone());
         self.membership.merge(news, now);
     }
--- a/crates/teaseltrack-node/src/settings.rs
+++ b/crates/teaseltrack-node/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use teaseltrack_daemon::settings::{SettingsError, check_concrete, check_positive};
+use teaseltrack_daemon::settings::{SettingsError, check_positive, check_specified_ip};
 
 /// Settings of membership and control calls.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
     ///
     /// The first key with an impossible value.
     pub fn check(&self) -> Result<(), SettingsError> {
-        check_concrete("control.address", self.address)?;
+        check_specified_ip("control.address", self.address)?;
         check_positive("control.probe_period_ms", self.probe_period_ms as f64)?;
         check_positive("control.poll_period_ms", self.poll_period_ms as f64)
     }
--- a/crates/teaseltrack-platform/src/history.rs
+++ b/crates/teaseltrack-platform/src/history.rs
@@ -5,7 +5,7 @@
 use crate::{
     keys,
     store::{
-        CommitAnswer, Condition, Row, Store, StoreError, Transaction, UnavailableSnafu, Write,
+        CommitOutcome, Condition, Row, Store, StoreError, Transaction, UnavailableSnafu, Write,
     },
     stream::transaction_id,
 };
@@ -84,11 +84,11 @@
         let conditions = vec![Condition { key, version: self.version }];
         let transaction = Transaction { id: transaction_id(author), conditions, writes };
         match store.commit(transaction).await? {
-            CommitAnswer::Committed { version } => {
+            CommitOutcome::Committed { version } => {
                 *self = Self { mark, version };
                 Ok(true)
             }
-            CommitAnswer::Conflict { .. } => {
+            CommitOutcome::Conflict { .. } => {
                 *self = Self::read(store, stream).await?;
                 Ok(false)
             }
--- a/crates/teaseltrack-platform/src/store.rs
+++ b/crates/teaseltrack-platform/src/store.rs
@@ -137,7 +137,7 @@
 /// Answer to a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum CommitAnswer {
+pub enum CommitOutcome {
     /// It took effect; all rows that it wrote have this version.
     Committed {
         /// The version.
@@ -216,7 +216,7 @@
     /// Changes.
     Changes(ChangePage),
     /// Answer to a transaction.
-    Commit(CommitAnswer),
+    Commit(CommitOutcome),
     /// The object is stored.
     Stored,
     /// The object, if there is one.
@@ -388,7 +388,7 @@
     /// # Errors
     ///
     /// No answer in time; the transaction may or may not have taken effect.
-    pub async fn commit(&self, transaction: Transaction) -> Result<CommitAnswer, StoreError> {
+    pub async fn commit(&self, transaction: Transaction) -> Result<CommitOutcome, StoreError> {
         match self.call(StoreCall::Commit(transaction)).await? {
             StoreReply::Commit(answer) => Ok(answer),
             _ => UnavailableSnafu { message: "unexpected answer to a transaction" }.fail(),
--- a/crates/teaseltrack-platform/src/stream.rs
+++ b/crates/teaseltrack-platform/src/stream.rs
@@ -18,7 +18,7 @@
 use crate::{
     history::read_entries,
     keys,
-    store::{CommitAnswer, Condition, Row, Store, StoreError, Transaction, Write},
+    store::{CommitOutcome, Condition, Row, Store, StoreError, Transaction, Write},
 };
 
 /// Least wait after a call without an answer.
@@ -42,12 +42,12 @@
     /// Writes beside those of the head and the entry.
     pub writes: Vec<Write>,
     /// Instant after which a lost answer is no longer settled; `None` for never.
-    pub give_up_at: Option<Instant>,
+    pub retry_deadline: Option<Instant>,
 }
 
 /// What became of an append.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Appended {
+pub enum AppendOutcome {
     /// It took effect.
     Committed(Box<JournalEntry>),
     /// Someone else appended first; the stream must be opened again.
@@ -113,28 +113,28 @@
     ///
     /// # Errors
     ///
-    /// The store didn't answer until `give_up_at`; the append may or may not have taken effect, and
+    /// The store didn't answer until `retry_deadline`; the append may or may not have taken effect, and
     /// the stream must be opened again.
     pub async fn append(
         &mut self,
         store: &Store,
         clock: &SharedClock,
         append: Append,
-    ) -> Result<Appended, StoreError> {
-        let give_up_at = append.give_up_at;
+    ) -> Result<AppendOutcome, StoreError> {
+        let retry_deadline = append.retry_deadline;
         let (entry, head, transaction) = self.prepare(clock, append);
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             let error = match store.commit(transaction.clone()).await {
-                Ok(CommitAnswer::Committed { version }) => {
+                Ok(CommitOutcome::Committed { version }) => {
                     return Ok(self.advance(head, version, entry));
                 }
-                Ok(CommitAnswer::Conflict { key }) => {
+                Ok(CommitOutcome::Conflict { key }) => {
                     return self.settle_conflict(store, entry, head, key).await;
                 }
                 Err(error) => error,
             };
-            if give_up_at.is_some_and(|deadline| clock.now() >= deadline) {
+            if retry_deadline.is_some_and(|deadline| clock.now() >= deadline) {
                 return Err(error);
             }
             let wait = backoff.after_failure(&mut rand::rng());
@@ -175,10 +175,10 @@
         (entry, head, transaction)
     }
 
-    fn advance(&mut self, head: StreamHead, version: u64, entry: JournalEntry) -> Appended {
+    fn advance(&mut self, head: StreamHead, version: u64, entry: JournalEntry) -> AppendOutcome {
         self.head = head;
         self.version = version;
-        Appended::Committed(Box::new(entry))
+        AppendOutcome::Committed(Box::new(entry))
     }
 
     /// A conflict may stem from the transaction itself, sent before with its answer lost.
@@ -188,11 +188,15 @@
         entry: JournalEntry,
         head: StreamHead,
         key: String,
-    ) -> Result<Appended, StoreError> {
+    ) -> Result<AppendOutcome, StoreError> {
         let committed = self.entry_until_answered(store, entry.sequence).await;
         if committed.is_none_or(|sealed| sealed.hash != head.hash) {
             let is_head = key == keys::head(&self.name);
-            return Ok(if is_head { Appended::HeadMoved } else { Appended::Conflict { key } });
+            return Ok(if is_head {
+                AppendOutcome::HeadMoved
+            } else {
+                AppendOutcome::Conflict { key }
+            });
         }
         let row = read_until_answered(store, &keys::head(&self.name)).await;
         let seen = Self::from_row(&self.name, row.as_ref())?;
@@ -200,7 +204,7 @@
             return Ok(self.advance(seen.head, seen.version, entry));
         }
         *self = seen;
-        Ok(Appended::Committed(Box::new(entry)))
+        Ok(AppendOutcome::Committed(Box::new(entry)))
     }
 
     /// Reads an entry, wherever it is, again and again until the store answers.
--- a/crates/teaseltrack-platform/src/worker.rs
+++ b/crates/teaseltrack-platform/src/worker.rs
@@ -34,7 +34,7 @@
 /// Where an attempt stands on its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum WorkerState {
+pub enum WorkerAttemptState {
     /// Makes progress.
     Running,
     /// Waits for the lease.
@@ -53,7 +53,7 @@
     /// The attempt.
     pub key: AttemptKey,
     /// Where it stands.
-    pub state: WorkerState,
+    pub state: WorkerAttemptState,
     /// Room that was set aside for it.
     pub resources: Resources,
     /// Processor use, in thousandths of a core, as of a while ago.
@@ -64,7 +64,7 @@
 
 /// Renews the lease and asks for the state of all attempts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct SyncCall {
+pub struct SyncRequest {
     /// Number of the agent's process.
     pub holder: Incarnation,
     /// Incarnation of the lease; absent while the agent holds none.
@@ -77,9 +77,9 @@
     pub forget: Vec<AttemptKey>,
 }
 
-/// Answer to [`SyncCall`].
+/// Answer to [`SyncRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct SyncAnswer {
+pub struct SyncResponse {
     /// The worker's clock, in milliseconds.
     pub now_ms: u64,
     /// Incarnation under which the attempts run.
@@ -90,7 +90,7 @@
 
 /// Starts an attempt; the same attempt may be asked for again.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct StartCall {
+pub struct StartRequest {
     /// Number of the agent's process.
     pub holder: Incarnation,
     /// Incarnation of the lease.
@@ -110,7 +110,7 @@
 /// Stops an attempt; the same attempt may be stopped again, and one that isn't known is never started
 /// afterwards.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct StopCall {
+pub struct StopRequest {
     /// Number of the agent's process.
     pub holder: Incarnation,
     /// The attempt.
@@ -119,11 +119,11 @@
     pub is_checkpointed: bool,
 }
 
-/// Answer to [`StopCall`].
+/// Answer to [`StopRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct StopAnswer {
+pub struct StopResponse {
     /// Where the attempt stood.
-    pub state: WorkerState,
+    pub state: WorkerAttemptState,
     /// Content of the checkpoint, if one was wanted.
     pub checkpoint: Option<String>,
 }
@@ -157,10 +157,10 @@
         deadline: Option<Instant>,
         share: f64,
         forget: Vec<AttemptKey>,
-    ) -> Result<SyncAnswer, CallError> {
+    ) -> Result<SyncResponse, CallError> {
         let lease_until_ms = deadline.and_then(|deadline| self.in_worker_clock(deadline));
-        let call = SyncCall { holder: self.holder, incarnation, lease_until_ms, share, forget };
-        let answer: SyncAnswer =
+        let call = SyncRequest { holder: self.holder, incarnation, lease_until_ms, share, forget };
+        let answer: SyncResponse =
             self.client.call(Method::POST, self.address, "/sync", &call).await?;
         self.seen = Some((self.clock.now(), answer.now_ms));
         Ok(answer)
@@ -171,7 +171,7 @@
     /// # Errors
     ///
     /// No answer, or the worker refuses.
-    pub async fn start(&self, call: StartCall) -> Result<(), CallError> {
+    pub async fn start(&self, call: StartRequest) -> Result<(), CallError> {
         self.client.call(Method::POST, self.address, "/start", &call).await
     }
 
@@ -184,8 +184,8 @@
         &self,
         key: AttemptKey,
         is_checkpointed: bool,
-    ) -> Result<StopAnswer, CallError> {
-        let call = StopCall { holder: self.holder, key, is_checkpointed };
+    ) -> Result<StopResponse, CallError> {
+        let call = StopRequest { holder: self.holder, key, is_checkpointed };
         self.client.call(Method::POST, self.address, "/stop", &call).await
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Time in the worker's clock after which a start that is sent now is to be refused.
-    pub fn start_limit_ms(&self) -> Option<u64> {
+    pub fn start_deadline_ms(&self) -> Option<u64> {
         self.in_worker_clock(self.clock.now() + CALL_TIMEOUT)
     }
 
--- a/crates/teaseltrack-wire/src/control.rs
+++ b/crates/teaseltrack-wire/src/control.rs
@@ -22,7 +22,8 @@
     /// The sender.
     pub sender: Member,
     /// Members whose state changed lately.
-    pub news: Vec<Member>,
+    #[serde(rename = "news")]
+    pub updates: Vec<Member>,
     /// Hash of the sender's digest.
     pub digest_hash: u64,
     /// Configuration revision in force at the sender.
@@ -31,7 +32,7 @@
 
 /// Room asked for before an assignment is committed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct RoomRequest {
+pub struct ReservationRequest {
     /// The task.
     pub task: TaskId,
     /// The attempt that would be made.
@@ -42,7 +43,7 @@
 
 /// Answer to requests for room.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct RoomAnswer {
+pub struct ReservationResponse {
     /// Whether each request got its room, in their order.
     pub granted: Vec<bool>,
     /// Incarnation of the instance's lease; `None` while it holds none.
@@ -50,7 +51,8 @@
     /// Capacity of the instance for tasks.
     pub capacity: Resources,
     /// Room that is left.
-    pub room: Resources,
+    #[serde(rename = "room")]
+    pub available: Resources,
 }
 
 /// A shard's owner, to whom reports go.
@@ -129,7 +131,7 @@
 
 impl AttemptEvent {
     /// Whether the attempt is over.
-    pub fn is_end(&self) -> bool {
+    pub fn is_terminal(&self) -> bool {
         !matches!(self, Self::Started)
     }
 }
@@ -155,7 +157,8 @@
     /// Capacity of the instance for tasks.
     pub capacity: Resources,
     /// Room that is left.
-    pub room: Resources,
+    #[serde(rename = "room")]
+    pub available: Resources,
     /// The shard.
     pub shard: ShardNumber,
     /// The reports.
@@ -176,7 +179,9 @@
     /// Says that the shard's inbox holds something new.
     async fn wake_shard(shard: ShardNumber);
     /// Asks for room.
-    async fn reserve_room(requests: Vec<RoomRequest>) -> Result<RoomAnswer, ErrorKind>;
+    async fn reserve_room(
+        requests: Vec<ReservationRequest>,
+    ) -> Result<ReservationResponse, ErrorKind>;
     /// Starts committed assignments; events follow as reports.
     async fn start_tasks(owner: ShardOwner, orders: Vec<StartOrder>) -> Result<(), ErrorKind>;
     /// Stops attempts; events follow as reports.
