--- a/crates/teaseltrack-daemon/src/args.rs
+++ b/crates/teaseltrack-daemon/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of a daemon.
+//! Command line of a daemon.
 
 use std::path::PathBuf;
 
@@ -7,13 +7,13 @@
 /// Parsed command line of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonArgs {
-    /// Settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
-    /// Whether to validate the settings and exit.
+    /// Whether to only validate the settings and exit.
     pub is_check: bool,
 }
 
-/// The command line of a daemon, for clap.
+/// Command line definition of a daemon.
 pub fn command(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .version(clap::crate_version!())
@@ -29,13 +29,13 @@
         .arg(
             Arg::new("check")
                 .long("check")
-                .help("Validate the settings and exit: 0 if they are good, 2 if not")
+                .help("Validate the settings and exit with status 0 if they are valid, 2 otherwise")
                 .action(ArgAction::SetTrue),
         )
 }
 
 impl DaemonArgs {
-    /// Reads what clap parsed with [`command`].
+    /// Converts the matches of [`command`].
     pub fn from_matches(matches: &ArgMatches) -> Self {
         let settings = matches.get_one::<PathBuf>("settings").cloned().unwrap_or_default();
         Self { settings, is_check: matches.get_flag("check") }
--- a/crates/teaseltrack-daemon/src/boot_clock.rs
+++ b/crates/teaseltrack-daemon/src/boot_clock.rs
@@ -1,23 +1,24 @@
-//! A clock that goes on while the machine is suspended.
+//! Monotonic clock that keeps running while the machine is suspended.
 //!
-//! `Instant` stands still during a suspension. Whoever bounds a promise to others by time must not
-//! take that time for short.
+//! `Instant` doesn't advance during a suspension. With it, a process that resumes would take a
+//! lease as valid that has expired for all others.
 
 use std::time::{Duration, Instant, SystemTime};
 
 use nix::time::{ClockId, clock_gettime};
 use teaseltrack::clock::Clock;
 
-/// Monotonic time including suspensions, as an `Instant` that runs ahead by their length.
+/// Monotonic clock including suspended time: returns `Instant::now()` advanced by the time
+/// suspended since the clock was created.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
-    lead_at_start: Duration,
+    suspended_at_start: Duration,
 }
 
 impl BootClock {
-    /// Suspensions before this call don't count.
+    /// Creates a clock; suspensions before this call aren't included.
     pub fn new() -> Self {
-        Self { lead_at_start: lead() }
+        Self { suspended_at_start: suspended_time() }
     }
 }
 
@@ -29,7 +30,7 @@
 
 impl Clock for BootClock {
     fn now(&self) -> Instant {
-        Instant::now() + lead().saturating_sub(self.lead_at_start)
+        Instant::now() + suspended_time().saturating_sub(self.suspended_at_start)
     }
 
     fn wall_now(&self) -> SystemTime {
@@ -37,11 +38,11 @@
     }
 }
 
-/// How far the clock that counts suspensions is ahead of the one that doesn't; zero where the
-/// system has no such clock.
-fn lead() -> Duration {
-    let time = |clock| clock_gettime(clock).map(Duration::from);
-    match (time(ClockId::CLOCK_BOOTTIME), time(ClockId::CLOCK_MONOTONIC)) {
+/// Total time suspended since boot: `CLOCK_BOOTTIME` minus `CLOCK_MONOTONIC`; zero where the system
+/// doesn't provide both clocks.
+fn suspended_time() -> Duration {
+    let read = |clock| clock_gettime(clock).map(Duration::from);
+    match (read(ClockId::CLOCK_BOOTTIME), read(ClockId::CLOCK_MONOTONIC)) {
         (Ok(boot), Ok(monotonic)) => boot.saturating_sub(monotonic),
         _ => Duration::ZERO,
     }
--- a/crates/teaseltrack-daemon/src/byte_count.rs
+++ b/crates/teaseltrack-daemon/src/byte_count.rs
@@ -1,4 +1,4 @@
-//! A stream that counts the bytes it carries.
+//! Stream wrapper that counts transferred bytes.
 
 use std::{
     io,
@@ -12,7 +12,7 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes carried, shared by all streams of a kind.
+/// Byte counters, shared by the streams of one kind.
 #[derive(Debug, Default)]
 pub struct ByteCount {
     received: AtomicU64,
@@ -20,18 +20,18 @@
 }
 
 impl ByteCount {
-    /// Bytes received so far.
+    /// Number of bytes received.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// Bytes sent so far.
+    /// Number of bytes sent.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 }
 
-/// Wraps a stream and counts its bytes.
+/// Stream whose transferred bytes are counted.
 #[derive(Debug)]
 pub struct CountedStream<S> {
     stream: S,
@@ -39,7 +39,7 @@
 }
 
 impl<S> CountedStream<S> {
-    /// Counts the bytes of `stream` in `count`.
+    /// Wraps `stream`, adding its transferred bytes to `count`.
     pub fn new(stream: S, count: Arc<ByteCount>) -> Self {
         Self { stream, count }
     }
--- a/crates/teaseltrack-daemon/src/health.rs
+++ b/crates/teaseltrack-daemon/src/health.rs
@@ -1,4 +1,4 @@
-//! Liveness, readiness and status over HTTP, for the platform and for operators.
+//! HTTP endpoints for liveness, readiness and status, for the platform and operators.
 
 use std::sync::Arc;
 
@@ -14,23 +14,23 @@
     shutdown::Shutdown,
 };
 
-/// Connections to the health port at once.
+/// Maximum concurrent connections to the health port.
 const MAX_CONNECTIONS: usize = 16;
 
-/// Reports what the process holds, for `/status`.
+/// Returns the state of the process for `/status`.
 pub type StatusReport = Arc<dyn Fn() -> Value + Send + Sync>;
 
-/// Serves `/live`, `/ready` and `/status` until the process closes.
+/// Serves `/live`, `/ready` and `/status` until `shutdown` is closing.
 pub async fn serve_health(listener: TcpListener, shutdown: Shutdown, status: StatusReport) {
     let closing = shutdown.closing.clone();
     let handler = move |request: Request<Incoming>| {
-        let answer = answer(request.method(), request.uri().path(), &shutdown, &status);
-        std::future::ready(answer)
+        let response = respond(request.method(), request.uri().path(), &shutdown, &status);
+        std::future::ready(response)
     };
     serve(listener, MAX_CONNECTIONS, closing, handler).await;
 }
 
-fn answer(
+fn respond(
     method: &Method,
     path: &str,
     shutdown: &Shutdown,
--- a/crates/teaseltrack-daemon/src/http_client.rs
+++ b/crates/teaseltrack-daemon/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP client with a connection pool and a deadline on each call.
+//! HTTP client with a connection pool and a timeout for each call.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,37 +16,37 @@
 
 use crate::problem::Problem;
 
-/// Largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// Time for which an idle connection is kept.
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Timeout after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time to connect.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Idle connections to one address.
+/// Maximum idle connections per address.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// Why a call got no good answer.
+/// Failure of an HTTP call.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection could be made, so the call didn't arrive.
+    /// The connection failed, so the request wasn't sent.
     #[snafu(display("{address} can't be reached"))]
     Unreachable {
-        /// Address that was called.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The call was sent and its answer never came, or stopped short.
+    /// The request may have been sent, but no complete response was received in time.
     #[snafu(display("no answer from {address}"))]
     ResponseLost {
-        /// Address that was called.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The other side refused.
+    /// The server refused the request.
     #[snafu(display("{}", problem.detail))]
     Refused {
         /// The refusal.
         problem: Box<Problem>,
     },
-    /// The answer can't be read.
+    /// The response body can't be parsed.
     #[snafu(display("unreadable answer: {source}"))]
     Unreadable {
         /// Cause.
@@ -55,7 +55,7 @@
 }
 
 impl CallError {
-    /// The error kind of the failed call.
+    /// Error kind of the failure.
     pub fn kind(&self) -> ErrorKind {
         match self {
             Self::Unreachable { .. } => ErrorKind::Unreachable,
@@ -66,10 +66,10 @@
     }
 }
 
-/// A whole answer.
+/// Response with its complete body.
 #[derive(Clone, Debug)]
 pub struct BufferedResponse {
-    /// HTTP status.
+    /// Status code.
     pub status: StatusCode,
     /// Headers.
     pub headers: http::HeaderMap,
@@ -77,7 +77,7 @@
     pub body: Bytes,
 }
 
-/// HTTP client, cheap to clone.
+/// HTTP client; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -85,7 +85,7 @@
 }
 
 impl HttpClient {
-    /// A client that waits at most `timeout` for each whole answer.
+    /// Creates a client that waits up to `timeout` for each complete response.
     pub fn new(timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -98,11 +98,11 @@
         Self { client, timeout }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// No connection, or no whole answer in time.
+    /// No connection, or no complete response in time.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -117,7 +117,7 @@
                 }
             })?;
             let (parts, body) = response.into_parts();
-            let body = Limited::new(body, MAX_ANSWER_BYTES)
+            let body = Limited::new(body, MAX_RESPONSE_BYTES)
                 .collect()
                 .await
                 .map_err(|_| CallError::ResponseLost { address })?;
@@ -133,11 +133,11 @@
         }
     }
 
-    /// Calls with a JSON body and reads a JSON answer; a status of 400 or more is a refusal.
+    /// Sends a JSON body and parses the JSON response; a status of 400 or above is a refusal.
     ///
     /// # Errors
     ///
-    /// As [`Self::send`], or a refusal, or an unreadable answer.
+    /// As [`Self::send`], or a refusal, or an unparsable response.
     pub async fn call<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
@@ -155,7 +155,7 @@
         parse_response(&self.send(address, request).await?)
     }
 
-    /// Reads a JSON answer to a GET; a status of 400 or more is a refusal.
+    /// Sends a GET and parses the JSON response; a status of 400 or above is a refusal.
     ///
     /// # Errors
     ///
@@ -176,11 +176,11 @@
     CallError::Refused { problem: Box::new(Problem::new(kind, detail)) }
 }
 
-/// Reads an answer's JSON body, or its refusal.
+/// Parses the JSON body of a response; a status of 400 or above is a refusal.
 ///
 /// # Errors
 ///
-/// A refusal, or an unreadable body.
+/// A refusal, or an unparsable body.
 pub fn parse_response<T: DeserializeOwned>(response: &BufferedResponse) -> Result<T, CallError> {
     if response.status.as_u16() < 400 {
         let body: &[u8] = if response.body.is_empty() { b"null" } else { &response.body };
--- a/crates/teaseltrack-daemon/src/http_server.rs
+++ b/crates/teaseltrack-daemon/src/http_server.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 and HTTP/2 servers.
+//! HTTP/1.1 and HTTP/2 server.
 
 use std::{convert::Infallible, future::Future, sync::Arc, time::Duration};
 
@@ -21,24 +21,24 @@
 
 use crate::problem::Problem;
 
-/// Body of an answer.
+/// Body of a response.
 pub type ResponseBody = UnsyncBoxBody<Bytes, BodyError>;
-/// Why the body of an answer stopped short.
+/// Error that truncates the body of a response.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Time within which a caller must send its headers.
+/// Timeout for receiving the headers of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Time for which open answers may go on when the server closes.
+/// Delay before retrying a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Time granted to open responses when the server closes.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A body that is there as a whole.
+/// Creates a body from bytes in memory.
 pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer in JSON.
+/// Creates a JSON response.
 pub fn json_response<T: Serialize>(status: u16, value: &T) -> Response<ResponseBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full_body(text));
@@ -47,14 +47,14 @@
     response
 }
 
-/// Reads a whole body of at most `max_bytes`.
+/// Reads a complete request body of at most `max_bytes`.
 ///
 /// # Errors
 ///
-/// The body is too large or stopped short.
+/// The body is too large or was truncated.
 pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Problem> {
     match Limited::new(body, max_bytes).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
             let detail = format!("body: larger than {max_bytes} bytes");
             Err(Problem::new(ErrorKind::BodyTooLarge, detail))
@@ -63,11 +63,11 @@
     }
 }
 
-/// Reads a JSON body of at most `max_bytes`.
+/// Reads and parses a JSON request body of at most `max_bytes`.
 ///
 /// # Errors
 ///
-/// The body is too large or doesn't follow the schema; the detail names the field.
+/// The body is too large, was truncated, or doesn't match the schema; the detail names the field.
 pub async fn read_json<T: DeserializeOwned>(
     body: Incoming,
     max_bytes: usize,
@@ -78,7 +78,7 @@
         .map_err(|error| Problem::new(ErrorKind::InvalidInput, format!("body: {error}")))
 }
 
-/// Serves connections until `closing` is cancelled, then lets open answers end.
+/// Serves connections until `closing` is cancelled, then waits for open responses to complete.
 pub async fn serve<H, F>(
     listener: TcpListener,
     max_connections: usize,
@@ -103,14 +103,14 @@
             () = closing.cancelled() => break,
         };
         let Ok(stream) = stream else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         drop(stream.set_nodelay(true));
         let handler = handler.clone();
         let service = service_fn(move |request| {
-            let answer = handler(request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let connection = server.serve_connection(TokioIo::new(stream), service).into_owned();
         let connection = graceful.watch(connection);
--- a/crates/teaseltrack-daemon/src/lib.rs
+++ b/crates/teaseltrack-daemon/src/lib.rs
@@ -1,8 +1,10 @@
-//! What every process of teaseltrack has.
+//! Shared runtime of the teaseltrack daemons.
 //!
-//! [`args`] and [`settings`] read the command line and the settings file, [`logs`], [`metrics`] and
-//! [`spans`] say what the process does, [`http_server`] and [`http_client`] carry HTTP, [`problem`]
-//! writes refusals, [`boot_clock`] counts suspensions, [`health`] answers the platform's probes, and [`shutdown`] is the planned stop.
+//! [`args`] and [`settings`] parse the command line and the settings file, [`lifecycle`] runs a
+//! daemon until its graceful shutdown in [`shutdown`], and [`logs`], [`metrics`] and [`spans`]
+//! provide observability. [`http_server`] and [`http_client`] implement HTTP, [`problem`] encodes
+//! refusals, [`health`] serves the platform's probes, [`byte_count`] counts traffic, and
+//! [`boot_clock`] is a clock that includes suspensions.
 
 pub mod args;
 pub mod boot_clock;
--- a/crates/teaseltrack-daemon/src/lifecycle.rs
+++ b/crates/teaseltrack-daemon/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! From the command line to a running daemon and back.
+//! Startup and shutdown of a daemon.
 
 use std::{fmt::Display, future::Future, net::SocketAddr, process::ExitCode};
 
@@ -7,26 +7,26 @@
 
 use crate::{args::DaemonArgs, settings::SettingsError, shutdown::Shutdown};
 
-/// Exit code for bad settings.
+/// Exit code for invalid settings.
 const EXIT_BAD_SETTINGS: u8 = 2;
-/// Exit code for a daemon that couldn't start.
+/// Exit code for a failed start.
 const EXIT_NOT_STARTED: u8 = 1;
 
-/// Why a daemon didn't start.
+/// Failure to start a daemon.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum StartError {
-    /// An address can't be bound.
+    /// A listen address can't be bound.
     #[snafu(display("{key}: {address} can't be bound: {source}"))]
     Bind {
-        /// Key of the address in the settings.
+        /// Dotted path of the address in the settings.
         key: &'static str,
         /// The address.
         address: SocketAddr,
         /// Cause.
         source: std::io::Error,
     },
-    /// Metrics can't be sent.
+    /// The socket for sending metrics can't be opened.
     #[snafu(display("observation.metrics.statsd_address: {source}"))]
     Metrics {
         /// Cause.
@@ -34,7 +34,8 @@
     },
 }
 
-/// Binds the address of a key in the settings; the address is the bound one, its port never 0.
+/// Binds the listen address configured under `key`; returns the bound address, whose port is never
+/// 0.
 ///
 /// # Errors
 ///
@@ -48,9 +49,10 @@
     Ok((listener, bound))
 }
 
-/// Checks the settings, and runs the daemon until it is asked to stop.
+/// Validates the settings, and runs the daemon until it has shut down.
 ///
-/// With 0 worker threads everything runs on the calling thread. `start` returns once the daemon serves; the future it returns ends with the planned stop.
+/// With 0 worker threads, everything runs on the calling thread. `start` returns once the daemon
+/// serves; the future that it returns completes at the end of the graceful shutdown.
 pub fn run_daemon<S, F, E, W>(
     args: &DaemonArgs,
     worker_threads: usize,
@@ -70,7 +72,7 @@
         }
     };
     if args.is_check {
-        println!("{}: good", args.settings.display());
+        println!("{}: valid", args.settings.display());
         return ExitCode::SUCCESS;
     }
     let runtime = match worker_threads {
@@ -80,18 +82,18 @@
         }
     };
     let Ok(runtime) = runtime else {
-        eprintln!("the runtime can't start");
+        eprintln!("the async runtime failed to start");
         return ExitCode::from(EXIT_NOT_STARTED);
     };
     runtime.block_on(async {
         let shutdown = Shutdown::new();
         if let Err(error) = shutdown.drain_on_signal() {
-            eprintln!("signals: {error}");
+            eprintln!("signal handlers can't be installed: {error}");
             return ExitCode::from(EXIT_NOT_STARTED);
         }
         match start(settings, shutdown).await {
-            Ok(waiting) => {
-                waiting.await;
+            Ok(serving) => {
+                serving.await;
                 ExitCode::SUCCESS
             }
             Err(error) => {
--- a/crates/teaseltrack-daemon/src/logs.rs
+++ b/crates/teaseltrack-daemon/src/logs.rs
@@ -1,48 +1,48 @@
-//! Structured logs: for people on a terminal, or one JSON object a line.
+//! Structured logging, as text on a terminal or as JSON lines.
 
 use serde::{Deserialize, Serialize};
 use slog::{Drain, Level, LevelFilter, Logger, o};
 
-/// Log lines that may wait for the writer; more are dropped and counted by slog.
+/// Capacity of the log queue, in lines; slog drops and counts lines beyond it.
 const CHANNEL_LINES: usize = 4_096;
 
-/// How logs are written.
+/// Log format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Terminal,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Least severe level that is written.
+/// Minimum level of logged events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Faults of the program.
+    /// Errors that indicate a defect of the program.
     Error,
-    /// What an operator should look at.
+    /// Conditions that need an operator's attention.
     Warning,
-    /// What changes seldom.
+    /// Infrequent state changes.
     #[default]
     Info,
-    /// Every decision.
+    /// Individual decisions.
     Debug,
 }
 
-/// Settings of the logs.
+/// Log settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// How logs are written.
+    /// Log format.
     pub format: LogFormat,
-    /// Least severe level that is written.
+    /// Minimum level of logged events.
     pub level: LogLevel,
 }
 
-/// A logger that writes JSON lines to standard output, or lines for people to standard error.
+/// Creates a logger that writes JSON lines to standard output or text to standard error.
 pub fn logger(settings: LogSettings, program: &'static str, instance: &str) -> Logger {
     let level = match settings.level {
         LogLevel::Error => Level::Error,
@@ -64,7 +64,7 @@
     }
 }
 
-/// A logger that writes nothing.
+/// Creates a logger that discards everything.
 pub fn silent() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/teaseltrack-daemon/src/metrics.rs
+++ b/crates/teaseltrack-daemon/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics: pushed over UDP in the statsd format where an address is set, and kept for scrapes in
-//! the OpenMetrics text format, see [`serve_metrics`].
+//! Metrics, pushed over UDP in the statsd format if an address is configured, and exposed for
+//! scraping in the OpenMetrics text format by [`serve_metrics`].
 
 use std::{
     collections::HashMap,
@@ -30,31 +30,31 @@
 
 use crate::http_server::{ResponseBody, full_body, serve};
 
-/// Prefix of all metrics.
+/// Prefix of all metric names.
 const PREFIX: &str = "teaseltrack";
 
-/// Where a metric is explained; operators read it beside the figure.
+/// Help text of every metric, shown next to its value; points to the documentation.
 const HELP: &str = "See docs/OPERATIONS.md";
-/// Content type of a scrape's answer.
+/// Content type of a scrape response.
 const SCRAPE_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Connections of scrapers at once.
+/// Maximum concurrent connections of scrapers.
 const MAX_SCRAPERS: usize = 8;
-/// Upper bound of the first histogram bucket, in seconds: a call on the same instance.
+/// Upper bound of the first histogram bucket, in seconds; covers calls within one instance.
 const FIRST_BUCKET_S: f64 = 0.001;
-/// Buckets of a histogram, each twice the one before: up to 32 s.
+/// Number of histogram buckets; bounds double up to 32 s.
 const BUCKETS: u16 = 16;
 
-/// Settings of the metrics.
+/// Metric settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MetricSettings {
-    /// Where metrics go, `IP:port`; absent for nowhere.
+    /// Address of the statsd server, `IP:port`; `None` disables pushing.
     pub statsd_address: Option<SocketAddr>,
 }
 
 type Labels = Vec<(String, String)>;
 
-/// What a scrape shows.
+/// Metrics exposed for scraping, by name.
 #[derive(Debug, Default)]
 struct Exposition {
     registry: Registry,
@@ -64,7 +64,7 @@
     histograms: HashMap<String, Histogram>,
 }
 
-/// Sender of metrics, cheap to clone.
+/// Recorder of metrics; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
@@ -72,7 +72,7 @@
 }
 
 impl Metrics {
-    /// A sender to the address in the settings, if there is one.
+    /// Creates a recorder that also pushes to the statsd address, if one is configured.
     ///
     /// # Errors
     ///
@@ -82,55 +82,55 @@
         let socket = UdpSocket::bind(("0.0.0.0", 0))?;
         socket.set_nonblocking(true)?;
         let sink = BufferedUdpMetricSink::from(address, socket).map_err(std::io::Error::other)?;
-        Ok(Self::to(StatsdClient::from_sink(PREFIX, QueuingMetricSink::from(sink))))
+        Ok(Self::with_client(StatsdClient::from_sink(PREFIX, QueuingMetricSink::from(sink))))
     }
 
-    /// Nothing is pushed.
+    /// Creates a recorder that exposes metrics for scraping and pushes nothing.
     pub fn scrape_only() -> Self {
-        Self::to(StatsdClient::from_sink(PREFIX, NopMetricSink))
+        Self::with_client(StatsdClient::from_sink(PREFIX, NopMetricSink))
     }
 
-    fn to(client: StatsdClient) -> Self {
+    fn with_client(client: StatsdClient) -> Self {
         Self { client: Arc::new(client), exposition: Arc::default() }
     }
 
-    /// Counts an event.
+    /// Increments a counter.
     pub fn count(&self, name: &str) {
         drop(self.client.incr(name));
-        self.kept().total(name).inc();
+        self.lock_exposition().total(name).inc();
     }
 
-    /// Counts an event with a tag.
+    /// Increments a counter with one label.
     pub fn count_tagged(&self, name: &str, tag: &str, value: &str) {
         self.client.count_with_tags(name, 1_i64).with_tag(tag, value).send();
         let labels = vec![(tag.to_owned(), value.to_owned())];
-        self.kept().counter(name).get_or_create(&labels).inc();
+        self.lock_exposition().counter(name).get_or_create(&labels).inc();
     }
 
-    /// Sets a level.
+    /// Sets a gauge.
     pub fn gauge(&self, name: &str, value: u64) {
         drop(self.client.gauge(name, value));
-        self.kept().gauge(name).set(i64::try_from(value).unwrap_or(i64::MAX));
+        self.lock_exposition().gauge(name).set(i64::try_from(value).unwrap_or(i64::MAX));
     }
 
-    /// Takes in a duration; shown in seconds.
+    /// Records a duration; exposed as a histogram in seconds.
     pub fn time(&self, name: &str, duration: Duration) {
         drop(self.client.time(name, duration));
-        self.kept().histogram(name).observe(duration.as_secs_f64());
+        self.lock_exposition().histogram(name).observe(duration.as_secs_f64());
     }
 
-    /// All metrics in the OpenMetrics text format.
+    /// Encodes all metrics in the OpenMetrics text format.
     ///
     /// # Errors
     ///
-    /// A metric can't be written as text.
+    /// A metric can't be encoded.
     pub fn text(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
-        encode(&mut text, &self.kept().registry)?;
+        encode(&mut text, &self.lock_exposition().registry)?;
         Ok(text)
     }
 
-    fn kept(&self) -> MutexGuard<'_, Exposition> {
+    fn lock_exposition(&self) -> MutexGuard<'_, Exposition> {
         self.exposition.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -163,14 +163,14 @@
     fn histogram(&mut self, name: &str) -> &Histogram {
         self.histograms.entry(name.to_owned()).or_insert_with(|| {
             let histogram = Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS));
-            let shown = format!("{}_seconds", full_name(name));
-            self.registry.register(shown, HELP, histogram.clone());
+            let metric_name = format!("{}_seconds", full_name(name));
+            self.registry.register(metric_name, HELP, histogram.clone());
             histogram
         })
     }
 }
 
-/// Serves all metrics at every path until `closing` is cancelled.
+/// Serves all metrics, at any path, until `closing` is cancelled.
 pub async fn serve_metrics(listener: TcpListener, metrics: Metrics, closing: CancellationToken) {
     let handler = move |_: Request<Incoming>| std::future::ready(scrape(&metrics));
     serve(listener, MAX_SCRAPERS, closing, handler).await;
--- a/crates/teaseltrack-daemon/src/problem.rs
+++ b/crates/teaseltrack-daemon/src/problem.rs
@@ -14,27 +14,27 @@
 
 const PROBLEM_JSON: HeaderValue = HeaderValue::from_static("application/problem+json");
 
-/// A refusal, as it is written and read.
+/// Body of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Name of the error kind.
+    /// Error kind.
     pub reason: ErrorKind,
     /// HTTP status code.
     pub status: u16,
-    /// What is known about the request.
+    /// Whether the request was executed, as far as known.
     pub outcome: Outcome,
-    /// What went wrong, naming the field.
+    /// Description of the error, with the name of the field at fault.
     pub detail: String,
-    /// The request.
+    /// Identifier of the request.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub request_id: String,
-    /// When another try may do better, in milliseconds.
+    /// Delay after which a retry may succeed, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Problem {
-    /// A refusal of the given kind.
+    /// Creates a refusal of the given kind.
     pub fn new(reason: ErrorKind, detail: impl Into<String>) -> Self {
         let rule = reason.rule();
         Self {
@@ -47,21 +47,21 @@
         }
     }
 
-    /// Names the request.
+    /// Sets the identifier of the request.
     #[must_use]
     pub fn with_request_id(mut self, request_id: &str) -> Self {
         request_id.clone_into(&mut self.request_id);
         self
     }
 
-    /// Says when another try may do better.
+    /// Sets the delay after which a retry may succeed.
     #[must_use]
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after_ms = Some(wait.as_millis() as u64);
         self
     }
 
-    /// The answer to the caller.
+    /// Converts the refusal to an HTTP response.
     pub fn into_response(self) -> Response<ResponseBody> {
         let text = serde_json::to_vec(&self).unwrap_or_default();
         let mut response = Response::new(full_body(Bytes::from(text)));
--- a/crates/teaseltrack-daemon/src/settings.rs
+++ b/crates/teaseltrack-daemon/src/settings.rs
@@ -1,6 +1,6 @@
-//! Reading settings files.
+//! Settings shared by the daemons, and validation of settings files.
 //!
-//! Unknown keys and impossible values are errors that name the key; TOML's own errors name the line.
+//! Errors for unknown keys and invalid values name the key; TOML syntax errors name the line.
 
 use std::{
     fs, io,
@@ -13,7 +13,7 @@
 
 use crate::{logs::LogSettings, metrics::MetricSettings, spans::TraceSettings};
 
-/// Why settings were refused.
+/// Error in a settings file.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum SettingsError {
@@ -25,7 +25,8 @@
         /// Cause.
         source: io::Error,
     },
-    /// The file isn't TOML, or has an unknown or missing key or a value of another type.
+    /// The file isn't valid TOML, or has an unknown key, a missing key or a value of the wrong
+    /// type.
     #[snafu(display("{}: {source}", path.display()))]
     Malformed {
         /// The file.
@@ -34,30 +35,30 @@
         #[snafu(source(from(toml::de::Error, Box::new)))]
         source: Box<toml::de::Error>,
     },
-    /// A key has an impossible value.
+    /// A key has an invalid value.
     #[snafu(display("{key}: {message}"))]
-    Impossible {
-        /// The key, with the tables it is in.
+    InvalidValue {
+        /// Dotted path of the key.
         key: &'static str,
-        /// Why the value is impossible.
+        /// Why the value is invalid.
         message: String,
     },
 }
 
-/// Settings that every daemon has.
+/// Identity and location of the instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
     /// Name of the instance, unique in the fleet.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Its rack.
+    /// Rack of the instance; empty if unknown.
     #[serde(default)]
     pub rack: String,
 }
 
-/// Where the platform's store is and how much of it a process may use.
+/// Connection to the platform's store, and rate limits of this process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
@@ -66,10 +67,10 @@
     /// Deadline of one call, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Writes a second that this process may send.
+    /// Maximum writes per second by this process.
     #[serde(default = "default_writes_per_s")]
     pub writes_per_s: f64,
-    /// Reads a second that this process may send.
+    /// Maximum reads per second by this process.
     #[serde(default = "default_reads_per_s")]
     pub reads_per_s: f64,
 }
@@ -78,19 +79,19 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthSettings {
-    /// Address of liveness, readiness and status, `IP:port`.
+    /// Listen address for liveness, readiness and status, `IP:port`.
     pub address: SocketAddr,
 }
 
-/// Logs, metrics and traces.
+/// Observability settings: logs, metrics and traces.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ObservationSettings {
-    /// Logs.
+    /// Log settings.
     pub logs: LogSettings,
-    /// Metrics.
+    /// Metric settings.
     pub metrics: MetricSettings,
-    /// Traces.
+    /// Trace settings.
     pub traces: TraceSettings,
 }
 
@@ -106,77 +107,77 @@
     100.0
 }
 
-/// Reads a settings file; the caller checks the values.
+/// Reads a settings file; the caller validates the values.
 ///
 /// # Errors
 ///
-/// The file can't be read or doesn't follow the settings' schema.
+/// The file can't be read or doesn't match the schema of the settings.
 pub fn read_settings<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
     let text = fs::read_to_string(path).context(UnreadableSnafu { path })?;
     toml::from_str(&text).context(MalformedSnafu { path })
 }
 
-/// Refuses a value that is zero or negative.
+/// Checks that a value is finite and above 0.
 ///
 /// # Errors
 ///
-/// The key, if its value isn't above 0.
+/// The value isn't a finite number above 0.
 pub fn check_positive(key: &'static str, value: f64) -> Result<(), SettingsError> {
     let message = format!("{value} must be above 0");
-    ensure!(value.is_finite() && value > 0.0, ImpossibleSnafu { key, message });
+    ensure!(value.is_finite() && value > 0.0, InvalidValueSnafu { key, message });
     Ok(())
 }
 
-/// Refuses an empty text.
+/// Checks that a string isn't empty.
 ///
 /// # Errors
 ///
-/// The key, if its value is empty.
-pub fn check_present(key: &'static str, value: &str) -> Result<(), SettingsError> {
-    ensure!(!value.is_empty(), ImpossibleSnafu { key, message: "must not be empty" });
+/// The string is empty.
+pub fn check_not_empty(key: &'static str, value: &str) -> Result<(), SettingsError> {
+    ensure!(!value.is_empty(), InvalidValueSnafu { key, message: "must not be empty" });
     Ok(())
 }
 
-/// Refuses an address without a concrete IP, which other instances couldn't reach.
+/// Checks that an address has a specific IP, which other instances can connect to.
 ///
 /// # Errors
 ///
-/// The key, if its address is `0.0.0.0` or `::`.
+/// The IP is unspecified: `0.0.0.0` or `::`.
 pub fn check_specified_ip(key: &'static str, address: SocketAddr) -> Result<(), SettingsError> {
-    let message = format!("{address} must name the instance's own IP");
-    ensure!(!address.ip().is_unspecified(), ImpossibleSnafu { key, message });
+    let message = format!("{address} must be the instance's own IP, not an unspecified address");
+    ensure!(!address.ip().is_unspecified(), InvalidValueSnafu { key, message });
     Ok(())
 }
 
-/// Refuses a ratio outside 0 to 1.
+/// Checks that a ratio is between 0 and 1.
 ///
 /// # Errors
 ///
-/// The key, if its value is no ratio.
+/// The value isn't between 0 and 1.
 pub fn check_ratio(key: &'static str, value: f64) -> Result<(), SettingsError> {
-    let message = format!("{value} must be 0 to 1");
-    ensure!((0.0..=1.0).contains(&value), ImpossibleSnafu { key, message });
+    let message = format!("{value} must be between 0 and 1");
+    ensure!((0.0..=1.0).contains(&value), InvalidValueSnafu { key, message });
     Ok(())
 }
 
 impl InstanceSettings {
-    /// Checks the values.
+    /// Validates the values.
     ///
     /// # Errors
     ///
-    /// The first key with an impossible value.
+    /// The first key with an invalid value.
     pub fn check(&self) -> Result<(), SettingsError> {
-        check_present("instance.name", &self.name)?;
-        check_present("instance.zone", &self.zone)
+        check_not_empty("instance.name", &self.name)?;
+        check_not_empty("instance.zone", &self.zone)
     }
 }
 
 impl PlatformSettings {
-    /// Checks the values.
+    /// Validates the values.
     ///
     /// # Errors
     ///
-    /// The first key with an impossible value.
+    /// The first key with an invalid value.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_positive("platform.timeout_ms", self.timeout_ms as f64)?;
         check_positive("platform.writes_per_s", self.writes_per_s)?;
@@ -185,11 +186,11 @@
 }
 
 impl ObservationSettings {
-    /// Checks the values.
+    /// Validates the values.
     ///
     /// # Errors
     ///
-    /// The first key with an impossible value.
+    /// The first key with an invalid value.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_ratio("observation.traces.sampled_ratio", self.traces.sampled_ratio)
     }
--- a/crates/teaseltrack-daemon/src/shutdown.rs
+++ b/crates/teaseltrack-daemon/src/shutdown.rs
@@ -1,29 +1,29 @@
-//! The planned stop: first drain, then close.
+//! Graceful shutdown: drain, then close.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// The two steps of a planned stop, shared by all tasks of a process.
+/// Phases of a graceful shutdown, shared by all tasks of a process.
 #[derive(Clone, Debug, Default)]
 pub struct Shutdown {
-    /// Cancelled when no new work is to be taken.
+    /// Cancelled when the process stops accepting new work.
     pub draining: CancellationToken,
-    /// Cancelled when running work has ended and sockets close.
+    /// Cancelled when running work has ended and listeners close.
     pub closing: CancellationToken,
 }
 
 impl Shutdown {
-    /// Nothing is to stop yet.
+    /// Creates a shutdown handle with neither phase started.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether no new work is to be taken.
+    /// Whether the process has stopped accepting new work.
     pub fn is_draining(&self) -> bool {
         self.draining.is_cancelled()
     }
 
-    /// Begins to drain when the process is asked to stop.
+    /// Starts draining on SIGTERM or SIGINT.
     ///
     /// # Errors
     ///
--- a/crates/teaseltrack-daemon/src/spans.rs
+++ b/crates/teaseltrack-daemon/src/spans.rs
@@ -1,7 +1,7 @@
-//! A trace span for each hop, joined by `traceparent`.
+//! Trace spans, one for each hop of a request, linked by `traceparent`.
 //!
-//! Spans are written through the logs. With traces off, a caller's `traceparent` is passed on as it
-//! came.
+//! Spans are exported to the logs. With tracing disabled, a caller's `traceparent` is forwarded
+//! unchanged.
 
 use std::{collections::HashMap, fmt, time::SystemTime};
 
@@ -20,13 +20,13 @@
 
 const TRACEPARENT: &str = "traceparent";
 
-/// Settings of the traces.
+/// Trace settings.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TraceSettings {
-    /// Whether spans are written.
+    /// Whether spans are recorded and exported.
     pub is_enabled: bool,
-    /// Share of requests without a caller's decision that are traced, 0 to 1.
+    /// Fraction of requests sampled if the caller made no sampling decision, 0 to 1.
     pub sampled_ratio: f64,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Source of spans, cheap to clone.
+/// Creates spans; cheap to clone.
 #[derive(Clone)]
 pub struct Spans {
     tracer: Option<SdkTracer>,
@@ -50,7 +50,7 @@
 }
 
 impl Spans {
-    /// A source that writes through the logger, if traces are on.
+    /// Creates a source of spans that exports to `logger` if tracing is enabled.
     pub fn new(settings: TraceSettings, logger: Logger) -> Self {
         if !settings.is_enabled {
             return Self { tracer: None, provider: None };
@@ -63,7 +63,7 @@
         Self { tracer: Some(provider.tracer("teaseltrack")), provider: Some(provider) }
     }
 
-    /// Starts the span of a hop below the caller's.
+    /// Starts the span of a hop as a child of the caller's span.
     pub fn start(&self, name: &'static str, traceparent: Option<&str>) -> HopSpan {
         let Some(tracer) = &self.tracer else {
             return HopSpan { context: None, traceparent: traceparent.map(str::to_owned) };
@@ -80,7 +80,7 @@
         HopSpan { context: Some(context), traceparent: carrier.remove(TRACEPARENT) }
     }
 
-    /// Writes what is still held back.
+    /// Exports all buffered spans.
     pub fn flush(&self) {
         if let Some(provider) = &self.provider {
             drop(provider.force_flush());
@@ -88,7 +88,7 @@
     }
 }
 
-/// Span of one hop; ends when dropped.
+/// Span of one hop; ended on drop.
 #[derive(Debug)]
 pub struct HopSpan {
     context: Option<Context>,
@@ -96,12 +96,12 @@
 }
 
 impl HopSpan {
-    /// Value of `traceparent` for the next hop.
+    /// Value of `traceparent` to send to the next hop.
     pub fn traceparent(&self) -> Option<&str> {
         self.traceparent.as_deref()
     }
 
-    /// Adds an attribute.
+    /// Sets an attribute of the span.
     pub fn set(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         if let Some(context) = &self.context {
             context.span().set_attribute(KeyValue::new(key, value));
--- a/crates/teaseltrack-daemon/tests/metrics.rs
+++ b/crates/teaseltrack-daemon/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics as a scraper sees them.
+//! Exposition of metrics to a scraper.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 #[test]
-fn text_shows_counts_by_tag() {
+fn text_counter_by_tag() {
     let metrics = Metrics::scrape_only();
     metrics.count_tagged("submissions", "outcome", "accepted");
     metrics.count_tagged("submissions", "outcome", "accepted");
@@ -22,12 +22,12 @@
         "teaseltrack_submissions_total{outcome=\"refused\"} 1",
         "teaseltrack_starts_refused_total 1",
     ] {
-        assert!(text.contains(line), "{line} isn't in\n{text}");
+        assert!(text.contains(line), "{line} missing in\n{text}");
     }
 }
 
 #[test]
-fn text_shows_the_last_level() {
+fn text_gauge_last_value() {
     let metrics = Metrics::scrape_only();
     metrics.gauge("jobs_open", 7);
     metrics.gauge("jobs_open", 3);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn text_shows_durations_in_seconds() {
+fn text_duration_in_seconds() {
     let metrics = Metrics::scrape_only();
     metrics.time("commit", Duration::from_millis(3));
     let text = metrics.text().unwrap();
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn serve_metrics_answers_a_scrape() {
+async fn serve_metrics_scrape() {
     let metrics = Metrics::scrape_only();
     metrics.count("starts_refused");
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -54,8 +54,8 @@
     let request = http::Request::get(format!("http://{address}/metrics"))
         .body(http_body_util::Full::default())
         .unwrap();
-    let answer = HttpClient::new(Duration::from_secs(10)).send(address, request).await.unwrap();
-    let text = String::from_utf8(answer.body.to_vec()).unwrap();
+    let response = HttpClient::new(Duration::from_secs(10)).send(address, request).await.unwrap();
+    let text = String::from_utf8(response.body.to_vec()).unwrap();
     assert!(text.contains("teaseltrack_starts_refused_total 1"), "{text}");
     assert!(text.ends_with("# EOF\n"), "{text}");
 }
--- a/crates/teaseltrack-platform/src/history.rs
+++ b/crates/teaseltrack-platform/src/history.rs
@@ -1,4 +1,4 @@
-//! Moving journals to the object store, and reading them back.
+//! Archiving journals in the object store, and reading journals across table and archive.
 
 use teaseltrack::journal::{ArchiveMark, ChainPosition, SEGMENT_ENTRIES, SealedEntry};
 
@@ -10,34 +10,34 @@
     stream::transaction_id,
 };
 
-/// How much of a stream is archived, with the version of the row that says so.
+/// Archive position of a stream, with the version of the row that stores it.
 #[derive(Clone, Debug, Default)]
 pub struct Archive {
-    /// The mark.
+    /// Last archived entry and its hash.
     pub mark: ArchiveMark,
-    /// Version of its row; 0 if there is none.
+    /// Version of the mark's row; 0 if the row doesn't exist.
     pub version: u64,
 }
 
 impl Archive {
-    /// Reads the mark of a stream.
+    /// Reads the archive mark of a stream.
     ///
     /// # Errors
     ///
-    /// The store doesn't answer.
+    /// The store is unavailable.
     pub async fn read(store: &Store, stream: &str) -> Result<Self, StoreError> {
         let row = store.read(&keys::archive_mark(stream)).await?;
         let mark = row.as_ref().map(Row::parse).transpose()?.unwrap_or_default();
         Ok(Self { mark, version: row.map_or(0, |row| row.version) })
     }
 
-    /// Moves the next whole segment to the object store, if there is one that ends at or before
-    /// `through_sequence`; true if one was moved.
+    /// Archives the next full segment, if it ends at or before `through_sequence`; returns whether
+    /// a segment was archived.
     ///
     /// # Errors
     ///
-    /// The store doesn't answer. Nothing is lost: the entries go from the table only together with
-    /// the mark, after the segment is stored.
+    /// The store is unavailable. No entry is lost: entries are deleted from the table in the same
+    /// transaction that advances the mark, after the segment is stored.
     pub async fn move_segment(
         &mut self,
         store: &Store,
@@ -75,11 +75,11 @@
         stream: &str,
         author: &str,
         mark: ArchiveMark,
-        moved: std::ops::RangeInclusive<u64>,
+        archived: std::ops::RangeInclusive<u64>,
     ) -> Result<bool, StoreError> {
         let key = keys::archive_mark(stream);
         let mut writes: Vec<Write> =
-            moved.map(|sequence| Write::delete(keys::journal_entry(stream, sequence))).collect();
+            archived.map(|sequence| Write::delete(keys::journal_entry(stream, sequence))).collect();
         writes.push(Write::put(key.clone(), &mark));
         let conditions = vec![Condition { key, version: self.version }];
         let transaction = Transaction { id: transaction_id(author), conditions, writes };
@@ -96,11 +96,12 @@
     }
 }
 
-/// Reads entries after a sequence number, wherever they are: at least one if there is one.
+/// Reads entries after a sequence number from the table or the archive; empty only at the end of
+/// the stream.
 ///
 /// # Errors
 ///
-/// The store doesn't answer.
+/// The store is unavailable.
 pub async fn read_entries(
     store: &Store,
     stream: &str,
@@ -128,6 +129,6 @@
 ) -> Result<Vec<SealedEntry>, StoreError> {
     let after = keys::journal_entry(stream, first - 1);
     let rows = store.list(&keys::journal(stream), &after).await?;
-    let wanted = rows.iter().take_while(|row| row.key <= keys::journal_entry(stream, last));
-    wanted.map(Row::parse).collect()
+    let in_range = rows.iter().take_while(|row| row.key <= keys::journal_entry(stream, last));
+    in_range.map(Row::parse).collect()
 }
--- a/crates/teaseltrack-platform/src/http_adapter.rs
+++ b/crates/teaseltrack-platform/src/http_adapter.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol: each call is a POST of its JSON form to `/store`.
+//! Adapter for the platform's protocol: each call is sent as JSON in a POST to `/store`.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,10 +7,10 @@
 
 use crate::store::{Adapter, StoreError, StoreReply};
 
-/// Path of the platform's store.
+/// URL path of the platform's store.
 pub const STORE_PATH: &str = "/store";
 
-/// An adapter to the platform at `address`; each call waits at most `timeout`.
+/// Creates an adapter for the platform at `address`; each call times out after `timeout`.
 pub fn http_adapter(address: SocketAddr, timeout: Duration) -> Adapter {
     let client = HttpClient::new(timeout);
     Arc::new(move |call| {
--- a/crates/teaseltrack-platform/src/inbox.rs
+++ b/crates/teaseltrack-platform/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Commands that operators left for a shard's owner.
+//! Operators' commands queued in the table for a shard's owner.
 
 use crate::{
     keys,
@@ -12,41 +12,41 @@
     task::Decision,
 };
 
-/// A command, one row of the table.
+/// Command on a job, stored as one row of the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InboxCommand {
-    /// What the operator did.
+    /// Change that the operator made to the record.
     pub action: ChangeAction,
-    /// The job's record after it.
+    /// The job's record after the change.
     pub record: Record,
 }
 
-/// Commands that were read, with the keys of their rows.
+/// Decisions of the queued commands, with the keys of their rows.
 #[derive(Clone, Debug, Default)]
 pub struct InboxPage {
-    /// Decisions that the commands ask for.
+    /// Decisions that implement the commands.
     pub decisions: Vec<Decision>,
-    /// Rows that go once the decisions are committed.
+    /// Keys of the rows to delete when the decisions are committed.
     pub keys: Vec<String>,
 }
 
-/// Reads the commands that wait for a shard's owner.
+/// Reads the commands queued for a shard's owner.
 ///
 /// # Errors
 ///
-/// The store doesn't answer.
+/// The store is unavailable, or a command can't be parsed.
 pub async fn read_inbox(store: &Store, shard: ShardNumber) -> Result<InboxPage, StoreError> {
     let rows = store.list(&keys::inbox(shard), "").await?;
     let mut page = InboxPage::default();
     for row in rows {
         let command: InboxCommand = row.parse()?;
-        page.decisions.extend(decision_of(command));
+        page.decisions.extend(into_decision(command));
         page.keys.push(row.key);
     }
     Ok(page)
 }
 
-fn decision_of(command: InboxCommand) -> Option<Decision> {
+fn into_decision(command: InboxCommand) -> Option<Decision> {
     let InboxCommand { action, record } = command;
     let (job, revision) = (record.name, record.revision);
     if action == ChangeAction::Withdraw {
--- a/crates/teaseltrack-platform/src/keys.rs
+++ b/crates/teaseltrack-platform/src/keys.rs
@@ -1,44 +1,44 @@
-//! Names of rows in the table and of objects in the store.
+//! Keys of rows in the table and of objects in the object store.
 
 use teaseltrack::{
     ids::{Revision, ShardNumber},
     record::RecordKind,
 };
 
-/// Head of a stream.
+/// Head row of a stream.
 pub fn head(stream: &str) -> String {
     format!("head/{stream}")
 }
 
-/// Prefix of the heads of all shards.
+/// Prefix of the head rows of all shards.
 pub const SHARD_HEADS: &str = "head/shard-";
 
-/// Prefix of a stream's entries.
+/// Prefix of a stream's journal entries.
 pub fn journal(stream: &str) -> String {
     format!("journal/{stream}/")
 }
 
-/// An entry of a stream.
+/// Journal entry of a stream.
 pub fn journal_entry(stream: &str, sequence: u64) -> String {
     format!("journal/{stream}/{sequence:020}")
 }
 
-/// How much of a stream has moved to the object store.
+/// Archive mark of a stream.
 pub fn archive_mark(stream: &str) -> String {
     format!("archive/{stream}")
 }
 
-/// A segment of a stream in the object store.
+/// Archived segment of a stream, in the object store.
 pub fn segment(stream: &str, number: u64) -> String {
     format!("history/{stream}/{number:010}")
 }
 
-/// A snapshot of a shard in the object store.
+/// Snapshot of a shard as of a journal entry, in the object store.
 pub fn snapshot(stream: &str, sequence: u64) -> String {
     format!("snapshot/{stream}/{sequence:020}")
 }
 
-/// A record.
+/// Row of a record.
 pub fn record(kind: RecordKind, name: &str) -> String {
     format!("record/{}/{name}", kind.as_str())
 }
@@ -48,12 +48,12 @@
     format!("record/{}/", kind.as_str())
 }
 
-/// Prefix of the commands that wait for a shard's owner.
+/// Prefix of the commands queued for a shard's owner.
 pub fn inbox(shard: ShardNumber) -> String {
     format!("inbox/{shard:04}/")
 }
 
-/// A command that waits for a shard's owner.
+/// Command queued for a shard's owner.
 pub fn inbox_command(shard: ShardNumber, revision: Revision) -> String {
     format!("inbox/{shard:04}/{revision:020}")
 }
@@ -66,20 +66,20 @@
     format!("{LEASES}{instance}")
 }
 
-/// A notice that a watch acted on.
+/// Notice that a watch has processed.
 pub fn notice(watch: &str, notice: &str) -> String {
     format!("notice/{watch}/{notice}")
 }
 
-/// Address of an entry, for instances that start.
+/// Address of an entry, from which starting instances join the membership.
 pub fn seed(instance: &str) -> String {
     format!("{SEEDS}{instance}")
 }
 
-/// Prefix of the addresses of entries.
+/// Prefix of the seed addresses.
 pub const SEEDS: &str = "seed/";
 
-/// Checkpoint of an attempt in the object store.
+/// Checkpoint of an attempt, in the object store.
 pub fn checkpoint(job: &str, index: u32, attempt: u32) -> String {
     format!("checkpoint/{job}/{index}/{attempt}")
 }
--- a/crates/teaseltrack-platform/src/shard_state.rs
+++ b/crates/teaseltrack-platform/src/shard_state.rs
@@ -1,4 +1,4 @@
-//! Reading a shard's state from its snapshot and journal, and writing snapshots.
+//! Loading a shard's state from its snapshot and journal, and writing snapshots.
 
 use crate::{
     history::{Archive, read_entries},
@@ -11,22 +11,22 @@
     shard::{ShardState, stream_of},
 };
 
-/// State of a shard and the number of the last entry that it includes.
+/// State of a shard as of a journal entry.
 #[derive(Clone, Debug, Default)]
 pub struct LoadedShard {
     /// The state.
     pub state: ShardState,
-    /// Number of the last entry.
+    /// Number of the last entry applied to the state.
     pub sequence: u64,
-    /// How much of the journal is archived.
+    /// Archive position of the journal.
     pub archive: Archive,
 }
 
-/// Reads a shard's state.
+/// Loads the snapshot of a shard's state and replays the journal entries after it.
 ///
 /// # Errors
 ///
-/// The store doesn't answer, or an entry can't be read.
+/// The store is unavailable, or the snapshot or an entry can't be parsed.
 pub async fn load_shard(store: &Store, shard: ShardNumber) -> Result<LoadedShard, StoreError> {
     let stream = stream_of(shard);
     let archive = Archive::read(store, &stream).await?;
@@ -46,16 +46,16 @@
             let entry = sealed
                 .open()
                 .map_err(|source| StoreError::Unreadable { key: stream.clone(), source })?;
-            fold(&mut loaded, &entry);
+            apply_entry(&mut loaded, &entry);
         }
     }
 }
 
-/// Writes a snapshot of the state as of the entry `sequence`.
+/// Writes a snapshot of the state as of the journal entry `sequence`.
 ///
 /// # Errors
 ///
-/// The store doesn't answer.
+/// The store is unavailable.
 pub async fn write_snapshot(
     store: &Store,
     shard: ShardNumber,
@@ -67,13 +67,13 @@
     store.put_object(key, text).await
 }
 
-fn fold(loaded: &mut LoadedShard, entry: &JournalEntry) {
+fn apply_entry(loaded: &mut LoadedShard, entry: &JournalEntry) {
     loaded.sequence = entry.sequence;
     let EntryBody::Decisions(decisions) = &entry.body else { return };
     for decision in decisions {
-        // Committed decisions applied when they were made, so they apply again.
+        // The owner applied each decision before committing it, so replaying it can't fail.
         if let Err(error) = loaded.state.apply(decision) {
-            debug_assert!(false, "committed decision doesn't apply: {error}");
+            debug_assert!(false, "replaying a committed decision failed: {error}");
         }
     }
 }
--- a/crates/teaseltrack-platform/src/store.rs
+++ b/crates/teaseltrack-platform/src/store.rs
@@ -1,7 +1,8 @@
-//! The port: rows, conditional transactions and objects.
+//! Storage interface of the platform: rows, conditional transactions and objects.
 //!
-//! An error says nothing about whether a write took effect. Every transaction carries an identifier
-//! of its own and is conditional, so that it may be sent again and its effect be read.
+//! After an error, a write may or may not have taken effect. Every transaction therefore has a
+//! unique identifier and conditions, so that it can be retried safely and its effect can be read
+//! back.
 
 use std::{
     fmt,
@@ -18,45 +19,45 @@
 use teaseltrack::{clock::SharedClock, quota::TokenBucket};
 use tokio::time::sleep;
 
-/// Seconds' worth of calls that may be sent at once.
+/// Capacity of the token buckets, in seconds of the configured rate.
 const BURST_S: f64 = 1.0;
-/// Rows of one listing.
+/// Maximum number of rows in one listing.
 pub const LIST_LIMIT: usize = 500;
 
-/// Why a call failed.
+/// Failure of a call to the store.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum StoreError {
-    /// No answer in time; a write may or may not have taken effect.
+    /// No usable response in time; a write may or may not have taken effect.
     #[snafu(display("store unavailable: {message}"))]
     Unavailable {
         /// Cause.
         message: String,
     },
-    /// The store turned the call away and did nothing.
+    /// The store rejected the call without executing it.
     #[snafu(display("store refused the call: {message}"))]
     Refused {
         /// Cause.
         message: String,
     },
-    /// A row or object can't be read.
+    /// The content of a row or object can't be parsed.
     #[snafu(display("{key}: {source}"))]
     Unreadable {
-        /// Its key.
+        /// Key of the row or object.
         key: String,
         /// Cause.
         source: serde_json::Error,
     },
 }
 
-/// A row of the table.
+/// Row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Goes up with every write of the row; never 0.
+    /// Increases with every write of the row; never 0.
     pub version: u64,
-    /// Its value as JSON text.
+    /// Value as JSON text.
     pub value: String,
 }
 
@@ -65,54 +66,55 @@
     ///
     /// # Errors
     ///
-    /// The value doesn't follow the schema.
+    /// The value doesn't match the schema of `T`.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, StoreError> {
         serde_json::from_str(&self.value).context(UnreadableSnafu { key: &self.key })
     }
 }
 
-/// A row that was written or deleted.
+/// Write or deletion of a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowChange {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Version of the change.
+    /// Table version of the change.
     pub version: u64,
-    /// Its value as JSON text; `None` if it was deleted.
+    /// New value as JSON text; `None` if the row was deleted.
     pub value: Option<String>,
 }
 
-/// Changes after a version, in their order.
+/// Changes of a table after a version, in commit order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangePage {
     /// The changes.
     pub changes: Vec<RowChange>,
-    /// Version to go on from.
+    /// Version to continue from.
     pub version: u64,
-    /// Whether the history asked for is no longer kept; the rows must be listed anew.
+    /// Whether changes after the requested version are no longer retained; the rows must be listed
+    /// again.
     pub is_history_lost: bool,
 }
 
-/// Requires a row to have a version.
+/// Precondition on the version of a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     /// Key of the row.
     pub key: String,
-    /// Its version; 0 for a row that doesn't exist.
+    /// Required version; 0 requires that the row doesn't exist.
     pub version: u64,
 }
 
-/// Writes or deletes a row.
+/// Write or deletion of a row in a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
     /// Key of the row.
     pub key: String,
-    /// Its new value as JSON text; `None` deletes it.
+    /// New value as JSON text; `None` deletes the row.
     pub value: Option<String>,
 }
 
 impl Write {
-    /// Writes a row.
+    /// Writes the JSON form of a value to a row.
     pub fn put<T: Serialize>(key: String, value: &T) -> Self {
         Self { key, value: serde_json::to_string(value).ok() }
     }
@@ -123,116 +125,116 @@
     }
 }
 
-/// Writes that take effect together, if all conditions hold.
+/// Writes that are applied atomically if all conditions hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Identifier of the transaction.
+    /// Unique identifier, kept when the transaction is retried.
     pub id: String,
-    /// What must hold.
+    /// Preconditions.
     pub conditions: Vec<Condition>,
-    /// What is written.
+    /// Writes.
     pub writes: Vec<Write>,
 }
 
-/// Answer to a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommitOutcome {
-    /// It took effect; all rows that it wrote have this version.
+    /// The writes were applied; all written rows have this version.
     Committed {
-        /// The version.
+        /// Version of the written rows.
         version: u64,
     },
-    /// It had no effect.
+    /// A condition didn't hold; nothing was written.
     Conflict {
         /// The first row whose condition didn't hold.
         key: String,
     },
 }
 
-/// A call to the platform.
+/// Call to the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreCall {
     /// Reads a row.
     Read {
-        /// Its key.
+        /// Key of the row.
         key: String,
     },
-    /// Lists rows by key.
+    /// Lists rows in key order.
     List {
-        /// Prefix of the keys.
+        /// Common prefix of the keys.
         prefix: String,
-        /// Key after which the listing begins; empty for the first.
+        /// Key after which the listing starts; empty to start at the first row.
         after: String,
-        /// Most rows.
+        /// Maximum number of rows.
         limit: usize,
     },
-    /// Tells the newest version of a table.
+    /// Reads the latest version of a table.
     Version {
-        /// First part of the table's keys.
+        /// First segment of the table's keys.
         table: String,
     },
-    /// Waits for changes of a table.
+    /// Reads changes of a table, waiting for the first one.
     Changes {
-        /// First part of the table's keys.
+        /// First segment of the table's keys.
         table: String,
-        /// Version after which changes are wanted.
+        /// Version after which changes are returned.
         after: u64,
-        /// Longest wait for the first change, in milliseconds.
+        /// Maximum wait for the first change, in milliseconds.
         wait_ms: u64,
     },
     /// Commits a transaction.
     Commit(Transaction),
     /// Stores an object.
     PutObject {
-        /// Its key.
+        /// Key of the object.
         key: String,
-        /// Its content.
+        /// Content of the object.
         value: String,
     },
-    /// Gets an object.
+    /// Reads an object.
     GetObject {
-        /// Its key.
+        /// Key of the object.
         key: String,
     },
 }
 
 impl StoreCall {
-    /// Whether the call counts against the budget of writes.
+    /// Whether the call counts against the write budget.
     pub fn is_write(&self) -> bool {
         matches!(self, Self::Commit(_) | Self::PutObject { .. })
     }
 }
 
-/// Answer to a call.
+/// Response to a [`StoreCall`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreReply {
-    /// Rows, at most one for a read.
+    /// Rows; at most one for a read.
     Rows(Vec<Row>),
-    /// Newest version.
+    /// Latest version of a table.
     Version(u64),
-    /// Changes.
+    /// Changes of a table.
     Changes(ChangePage),
-    /// Answer to a transaction.
+    /// Outcome of a transaction.
     Commit(CommitOutcome),
-    /// The object is stored.
+    /// The object was stored.
     Stored,
-    /// The object, if there is one.
+    /// Content of the object, if it exists.
     Object(Option<String>),
 }
 
-/// Carries calls to the platform.
+/// Transport for calls to the platform's store.
 pub type Adapter =
     Arc<dyn Fn(StoreCall) -> BoxFuture<'static, Result<StoreReply, StoreError>> + Send + Sync>;
 
-/// Calls a second that a process may send.
+/// Rate limits of a process's calls.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreBudget {
-    /// Writes a second.
+    /// Maximum writes per second.
     pub writes_per_s: f64,
-    /// Reads a second.
+    /// Maximum reads per second.
     pub reads_per_s: f64,
 }
 
@@ -242,7 +244,7 @@
     reads: TokenBucket,
 }
 
-/// The platform's store, cheap to clone.
+/// Client of the platform's store; cheap to clone.
 #[derive(Clone)]
 pub struct Store {
     adapter: Adapter,
@@ -251,7 +253,7 @@
     usage: Arc<StoreUsage>,
 }
 
-/// Calls sent so far.
+/// Counters of the calls sent to the store.
 #[derive(Debug, Default)]
 pub struct StoreUsage {
     writes: AtomicU64,
@@ -261,22 +263,22 @@
 }
 
 impl StoreUsage {
-    /// When a call last succeeded.
+    /// Time of the last successful call.
     pub fn last_success(&self) -> Option<Instant> {
         *self.last_success.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes sent.
+    /// Number of writes sent.
     pub fn writes(&self) -> u64 {
         self.writes.load(Ordering::Relaxed)
     }
 
-    /// Reads sent.
+    /// Number of reads sent.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Calls without an answer.
+    /// Number of failed calls.
     pub fn failures(&self) -> u64 {
         self.failures.load(Ordering::Relaxed)
     }
@@ -289,7 +291,7 @@
 }
 
 impl Store {
-    /// A store behind the adapter, within the budget.
+    /// Creates a client that sends calls through `adapter`, rate-limited by `budget`.
     pub fn new(adapter: Adapter, budget: StoreBudget, clock: SharedClock) -> Self {
         let bucket = |rate_per_s: f64| {
             TokenBucket::new(rate_per_s, (rate_per_s * BURST_S).max(1.0), clock.now())
@@ -300,7 +302,7 @@
         Self { adapter, clock, buckets, usage: Arc::default() }
     }
 
-    /// Calls sent so far.
+    /// Counters of the calls sent.
     pub fn usage(&self) -> &StoreUsage {
         &self.usage
     }
@@ -309,7 +311,7 @@
     ///
     /// # Errors
     ///
-    /// No answer in time.
+    /// No response in time.
     pub async fn read(&self, key: &str) -> Result<Option<Row>, StoreError> {
         match self.call(StoreCall::Read { key: key.to_owned() }).await? {
             StoreReply::Rows(rows) => Ok(rows.into_iter().next()),
@@ -317,11 +319,11 @@
         }
     }
 
-    /// Lists at most [`LIST_LIMIT`] rows after a key.
+    /// Lists up to [`LIST_LIMIT`] rows with a prefix, after a key.
     ///
     /// # Errors
     ///
-    /// No answer in time.
+    /// No response in time.
     pub async fn list(&self, prefix: &str, after: &str) -> Result<Vec<Row>, StoreError> {
         let call = StoreCall::List {
             prefix: prefix.to_owned(),
@@ -334,11 +336,11 @@
         }
     }
 
-    /// Lists all rows of a prefix, page by page.
+    /// Lists all rows with a prefix, page by page; rows written meanwhile may be missed.
     ///
     /// # Errors
     ///
-    /// No answer in time.
+    /// No response in time.
     pub async fn list_all(&self, prefix: &str) -> Result<Vec<Row>, StoreError> {
         let mut all: Vec<Row> = Vec::new();
         loop {
@@ -352,11 +354,11 @@
         }
     }
 
-    /// Newest version of a table.
+    /// Reads the latest version of a table.
     ///
     /// # Errors
     ///
-    /// No answer in time.
+    /// No response in time.
     pub async fn version(&self, table: &str) -> Result<u64, StoreError> {
         match self.call(StoreCall::Version { table: table.to_owned() }).await? {
             StoreReply::Version(version) => Ok(version),
@@ -364,11 +366,11 @@
         }
     }
 
-    /// Changes of a table after a version; waits at most `wait` for the first.
+    /// Reads changes of a table after a version; waits up to `wait` for the first one.
     ///
     /// # Errors
     ///
-    /// No answer in time.
+    /// No response in time.
     pub async fn changes(
         &self,
         table: &str,
@@ -387,28 +389,28 @@
     ///
     /// # Errors
     ///
-    /// No answer in time; the transaction may or may not have taken effect.
+    /// No response in time; the transaction may or may not have taken effect.
     pub async fn commit(&self, transaction: Transaction) -> Result<CommitOutcome, StoreError> {
         match self.call(StoreCall::Commit(transaction)).await? {
-            StoreReply::Commit(answer) => Ok(answer),
+            StoreReply::Commit(outcome) => Ok(outcome),
             _ => UnavailableSnafu { message: "unexpected answer to a transaction" }.fail(),
         }
     }
 
-    /// Stores an object; the same key may be stored again.
+    /// Stores an object, replacing any object with the same key.
     ///
     /// # Errors
     ///
-    /// No answer in time; the object may or may not be stored.
+    /// No response in time; the object may or may not have been stored.
     pub async fn put_object(&self, key: String, value: String) -> Result<(), StoreError> {
         self.call(StoreCall::PutObject { key, value }).await.map(drop)
     }
 
-    /// Gets an object.
+    /// Reads an object.
     ///
     /// # Errors
     ///
-    /// No answer in time.
+    /// No response in time.
     pub async fn get_object(&self, key: &str) -> Result<Option<String>, StoreError> {
         match self.call(StoreCall::GetObject { key: key.to_owned() }).await? {
             StoreReply::Object(object) => Ok(object),
@@ -423,9 +425,9 @@
         let reply = (self.adapter)(call).await;
         match &reply {
             Ok(_) => {
-                let mut last =
+                let mut last_success =
                     self.usage.last_success.lock().unwrap_or_else(PoisonError::into_inner);
-                *last = Some(self.clock.now());
+                *last_success = Some(self.clock.now());
             }
             Err(_) => {
                 self.usage.failures.fetch_add(1, Ordering::Relaxed);
@@ -435,12 +437,12 @@
     }
 
     async fn wait_for_budget(&self, is_write: bool) {
-        while let Err(wait) = self.take_budget(is_write) {
+        while let Err(wait) = self.try_consume_budget(is_write) {
             sleep(wait.max(Duration::from_millis(1))).await;
         }
     }
 
-    fn take_budget(&self, is_write: bool) -> Result<(), Duration> {
+    fn try_consume_budget(&self, is_write: bool) -> Result<(), Duration> {
         let mut buckets = self.buckets.lock().unwrap_or_else(PoisonError::into_inner);
         let bucket = if is_write { &mut buckets.writes } else { &mut buckets.reads };
         bucket.take(1.0, self.clock.now())
--- a/crates/teaseltrack-platform/src/stream.rs
+++ b/crates/teaseltrack-platform/src/stream.rs
@@ -1,8 +1,8 @@
 //! Appending to hash-chained journals.
 //!
-//! An append is one transaction, conditional on the version of the stream's head. When its answer is
-//! lost, the row of the entry tells whether it took effect; if it isn't there, the same transaction is
-//! sent again, which the condition makes safe.
+//! An append is one transaction, conditional on the version of the stream's head. If its response
+//! is lost, the same transaction is retried; the condition keeps it from being applied twice. If a
+//! retry conflicts, the row of the entry shows whether an earlier try was committed.
 
 use std::time::{Duration, Instant};
 
@@ -21,45 +21,45 @@
     store::{CommitOutcome, Condition, Row, Store, StoreError, Transaction, Write},
 };
 
-/// Least wait after a call without an answer.
+/// Minimum backoff after a failed call.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest wait after a call without an answer.
+/// Maximum backoff after a failed call.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What an append writes.
+/// Parameters of an append.
 #[derive(Clone, Debug)]
 pub struct Append {
-    /// Operator or instance that decided.
+    /// Operator or instance that made the decisions.
     pub author: String,
-    /// What was decided.
+    /// Content of the entry.
     pub body: EntryBody,
     /// Ownership period after the append.
     pub epoch: Epoch,
     /// Owner after the append.
     pub owner: Option<Owner>,
-    /// Conditions beside that on the head.
+    /// Conditions in addition to the one on the head's version.
     pub conditions: Vec<Condition>,
-    /// Writes beside those of the head and the entry.
+    /// Writes in addition to the head and the entry.
     pub writes: Vec<Write>,
-    /// Instant after which a lost answer is no longer settled; `None` for never.
+    /// Time after which a failed commit is no longer retried; `None` to retry indefinitely.
     pub retry_deadline: Option<Instant>,
 }
 
-/// What became of an append.
+/// Outcome of an append.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AppendOutcome {
-    /// It took effect.
+    /// The entry was committed.
     Committed(Box<JournalEntry>),
-    /// Someone else appended first; the stream must be opened again.
+    /// Another writer appended first; the stream must be reopened.
     HeadMoved,
-    /// Another condition didn't hold.
+    /// One of the additional conditions didn't hold.
     Conflict {
         /// The first row whose condition didn't hold.
         key: String,
     },
 }
 
-/// A stream as it was last seen.
+/// Position in a stream as of the last read or append.
 #[derive(Clone, Debug)]
 pub struct Stream {
     name: String,
@@ -67,27 +67,27 @@
     version: u64,
 }
 
-/// A new transaction identifier of an instance.
+/// Generates a unique transaction identifier prefixed with its author.
 pub fn transaction_id(author: &str) -> String {
     format!("{author}-{:016x}", rand::rng().random::<u64>())
 }
 
 impl Stream {
-    /// Reads a stream's head; a stream without one is empty.
+    /// Reads a stream's head; a stream without a head row is empty.
     ///
     /// # Errors
     ///
-    /// The store doesn't answer.
+    /// The store is unavailable.
     pub async fn open(store: &Store, name: &str) -> Result<Self, StoreError> {
         let row = store.read(&keys::head(name)).await?;
         Self::from_row(name, row.as_ref())
     }
 
-    /// A stream from its head's row.
+    /// Creates a stream from the row of its head.
     ///
     /// # Errors
     ///
-    /// The row can't be read.
+    /// The row can't be parsed.
     pub fn from_row(name: &str, row: Option<&Row>) -> Result<Self, StoreError> {
         let head = row.map(Row::parse::<StreamHead>).transpose()?.unwrap_or_default();
         let version = row.map_or(0, |row| row.version);
@@ -99,22 +99,22 @@
         &self.name
     }
 
-    /// The head as last seen.
+    /// Head as of the last read or append.
     pub fn head(&self) -> &StreamHead {
         &self.head
     }
 
-    /// Version of the head's row as last seen.
+    /// Version of the head's row as of the last read or append.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Appends an entry, and settles a lost answer by reading.
+    /// Appends an entry; retries after a lost response, and resolves a conflict by reading back.
     ///
     /// # Errors
     ///
-    /// The store didn't answer until `retry_deadline`; the append may or may not have taken effect, and
-    /// the stream must be opened again.
+    /// No commit succeeded by `retry_deadline`; the append may or may not have taken effect, and
+    /// the stream must be reopened.
     pub async fn append(
         &mut self,
         store: &Store,
@@ -130,7 +130,7 @@
                     return Ok(self.advance(head, version, entry));
                 }
                 Ok(CommitOutcome::Conflict { key }) => {
-                    return self.settle_conflict(store, entry, head, key).await;
+                    return self.resolve_conflict(store, entry, head, key).await;
                 }
                 Err(error) => error,
             };
@@ -181,15 +181,16 @@
         AppendOutcome::Committed(Box::new(entry))
     }
 
-    /// A conflict may stem from the transaction itself, sent before with its answer lost.
-    async fn settle_conflict(
+    /// Determines the outcome after a conflict, which may be caused by an earlier try of the same
+    /// transaction whose response was lost.
+    async fn resolve_conflict(
         &mut self,
         store: &Store,
         entry: JournalEntry,
         head: StreamHead,
         key: String,
     ) -> Result<AppendOutcome, StoreError> {
-        let committed = self.entry_until_answered(store, entry.sequence).await;
+        let committed = self.read_entry_with_retries(store, entry.sequence).await;
         if committed.is_none_or(|sealed| sealed.hash != head.hash) {
             let is_head = key == keys::head(&self.name);
             return Ok(if is_head {
@@ -198,17 +199,17 @@
                 AppendOutcome::Conflict { key }
             });
         }
-        let row = read_until_answered(store, &keys::head(&self.name)).await;
-        let seen = Self::from_row(&self.name, row.as_ref())?;
-        if seen.head == head {
-            return Ok(self.advance(seen.head, seen.version, entry));
+        let row = read_with_retries(store, &keys::head(&self.name)).await;
+        let current = Self::from_row(&self.name, row.as_ref())?;
+        if current.head == head {
+            return Ok(self.advance(current.head, current.version, entry));
         }
-        *self = seen;
+        *self = current;
         Ok(AppendOutcome::Committed(Box::new(entry)))
     }
 
-    /// Reads an entry, wherever it is, again and again until the store answers.
-    async fn entry_until_answered(&self, store: &Store, sequence: u64) -> Option<SealedEntry> {
+    /// Reads an entry from the table or the archive, retrying until the store responds.
+    async fn read_entry_with_retries(&self, store: &Store, sequence: u64) -> Option<SealedEntry> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             if let Ok(entries) = read_entries(store, &self.name, sequence - 1).await {
@@ -220,8 +221,8 @@
     }
 }
 
-/// Reads a row, again and again until the store answers.
-pub async fn read_until_answered(store: &Store, key: &str) -> Option<Row> {
+/// Reads a row, retrying until the store responds.
+pub async fn read_with_retries(store: &Store, key: &str) -> Option<Row> {
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
     loop {
         match store.read(key).await {
--- a/crates/teaseltrack-platform/src/worker.rs
+++ b/crates/teaseltrack-platform/src/worker.rs
@@ -1,8 +1,9 @@
 //! The platform's worker on the agent's own instance.
 //!
-//! A worker runs attempts under a lease that it is told in its own clock: each answer carries the
-//! worker's time, from which the agent works out the deadline. Past the deadline the worker pauses its
-//! attempts by itself; a new incarnation drops them. A holder with a lower number is refused.
+//! A worker runs attempts under a lease whose deadline is expressed in the worker's clock: each
+//! sync response carries the worker's time, from which the agent converts the deadline. When the
+//! lease expires, the worker pauses its attempts on its own; a new incarnation drops them. Requests
+//! from a holder with a lower number than the current one are refused.
 
 use std::{
     net::SocketAddr,
@@ -19,10 +20,10 @@
 };
 use teaseltrack_daemon::http_client::{CallError, HttpClient};
 
-/// Time for the worker to answer.
+/// Deadline of one call to the worker.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One attempt on a worker.
+/// Identifies an attempt on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptKey {
     /// The task.
@@ -31,126 +32,129 @@
     pub attempt: AttemptNumber,
 }
 
-/// Where an attempt stands on its worker.
+/// State of an attempt on its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkerAttemptState {
-    /// Makes progress.
+    /// Running under a valid lease.
     Running,
-    /// Waits for the lease.
+    /// Paused until the lease is renewed.
     Paused,
-    /// Was stopped and waits to be forgotten.
+    /// Stopped, and kept until the agent acknowledges it.
     Stopped,
-    /// Finished.
+    /// Completed.
     Done,
-    /// Failed.
+    /// Failed, with the reason.
     Failed(String),
 }
 
-/// An attempt as its worker reports it; use comes with a lag.
+/// An attempt as reported by its worker; usage figures lag behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerAttempt {
     /// The attempt.
     pub key: AttemptKey,
-    /// Where it stands.
+    /// State of the attempt.
     pub state: WorkerAttemptState,
-    /// Room that was set aside for it.
+    /// Resources reserved for it.
     pub resources: Resources,
-    /// Processor use, in thousandths of a core, as of a while ago.
+    /// CPU usage in thousandths of a core, delayed.
     pub used_cpu_milli: u64,
-    /// Memory use, in mebibytes, as of a while ago.
+    /// Memory usage in mebibytes, delayed.
     pub used_memory_mib: u64,
 }
 
-/// Renews the lease and asks for the state of all attempts.
+/// Renews the lease and requests the state of all attempts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// Number of the agent's process.
+    /// Incarnation of the agent's process.
     pub holder: Incarnation,
-    /// Incarnation of the lease; absent while the agent holds none.
+    /// Incarnation of the lease; `None` while the agent holds no lease.
     pub incarnation: Option<Incarnation>,
-    /// End of the lease in the worker's clock, in milliseconds; absent before it is known.
+    /// End of the lease in the worker's clock, in milliseconds; `None` until the worker's clock has
+    /// been read or while there is no lease.
     pub lease_until_ms: Option<u64>,
-    /// Share of its full speed at which work runs.
+    /// Fraction of full speed at which attempts run.
     pub share: f64,
-    /// Ended attempts that need not be reported again.
+    /// Ended attempts that the agent has acknowledged and the worker may drop.
     pub forget: Vec<AttemptKey>,
 }
 
-/// Answer to [`SyncRequest`].
+/// Response to [`SyncRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SyncResponse {
     /// The worker's clock, in milliseconds.
     pub now_ms: u64,
     /// Incarnation under which the attempts run.
     pub incarnation: Option<Incarnation>,
-    /// All attempts that aren't forgotten.
+    /// All attempts that the agent hasn't acknowledged as ended.
     pub attempts: Vec<WorkerAttempt>,
 }
 
-/// Starts an attempt; the same attempt may be asked for again.
+/// Starts an attempt; idempotent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartRequest {
-    /// Number of the agent's process.
+    /// Incarnation of the agent's process.
     pub holder: Incarnation,
     /// Incarnation of the lease.
     pub incarnation: Incarnation,
     /// The attempt.
     pub key: AttemptKey,
-    /// Room set aside.
+    /// Resources reserved for it.
     pub resources: Resources,
     /// Declared run time, in milliseconds.
     pub run_ms: u64,
-    /// Content of the checkpoint from which it resumes.
+    /// Content of the checkpoint to resume from.
     pub checkpoint: Option<String>,
-    /// Time in the worker's clock after which the call is refused, in milliseconds.
+    /// Time in the worker's clock after which the request is refused, in milliseconds.
     pub not_after_ms: Option<u64>,
 }
 
-/// Stops an attempt; the same attempt may be stopped again, and one that isn't known is never started
+/// Stops an attempt; idempotent. An attempt that the worker doesn't know yet can't be started
 /// afterwards.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StopRequest {
-    /// Number of the agent's process.
+    /// Incarnation of the agent's process.
     pub holder: Incarnation,
     /// The attempt.
     pub key: AttemptKey,
-    /// Whether a checkpoint is wanted.
+    /// Whether to return a checkpoint.
     pub is_checkpointed: bool,
 }
 
-/// Answer to [`StopRequest`].
+/// Response to [`StopRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StopResponse {
-    /// Where the attempt stood.
+    /// State of the attempt after the stop.
     pub state: WorkerAttemptState,
-    /// Content of the checkpoint, if one was wanted.
+    /// Content of the checkpoint, if one was requested.
     pub checkpoint: Option<String>,
 }
 
-/// Calls to the worker, and its clock.
+/// Client of the worker that tracks the worker's clock.
 #[derive(Clone)]
 pub struct WorkerClient {
     client: HttpClient,
     address: SocketAddr,
     clock: SharedClock,
-    /// Number of the agent's process.
+    /// Incarnation of the agent's process.
     holder: Incarnation,
-    /// The worker's clock at an instant of ours that wasn't before it.
-    seen: Option<(Instant, u64)>,
+    /// Local time when the last sync response was received, and the worker's clock in it, in
+    /// milliseconds; the worker read its clock no later than that.
+    clock_sample: Option<(Instant, u64)>,
 }
 
 impl WorkerClient {
-    /// A client of the worker at `address` for the agent's process `holder`.
+    /// Creates a client of the worker at `address`; `holder` is the incarnation of the agent's
+    /// process.
     pub fn new(address: SocketAddr, holder: Incarnation, clock: SharedClock) -> Self {
-        Self { client: HttpClient::new(CALL_TIMEOUT), address, clock, holder, seen: None }
+        Self { client: HttpClient::new(CALL_TIMEOUT), address, clock, holder, clock_sample: None }
     }
 
     /// Renews the lease until `deadline` and reads the state of all attempts.
     ///
     /// # Errors
     ///
-    /// No answer, or another process holds the worker.
+    /// No response, or another process holds the worker.
     pub async fn sync(
         &mut self,
         incarnation: Option<Incarnation>,
@@ -158,51 +162,54 @@
         share: f64,
         forget: Vec<AttemptKey>,
     ) -> Result<SyncResponse, CallError> {
-        let lease_until_ms = deadline.and_then(|deadline| self.in_worker_clock(deadline));
-        let call = SyncRequest { holder: self.holder, incarnation, lease_until_ms, share, forget };
-        let answer: SyncResponse =
-            self.client.call(Method::POST, self.address, "/sync", &call).await?;
-        self.seen = Some((self.clock.now(), answer.now_ms));
-        Ok(answer)
+        let lease_until_ms = deadline.and_then(|deadline| self.to_worker_clock(deadline));
+        let request =
+            SyncRequest { holder: self.holder, incarnation, lease_until_ms, share, forget };
+        let response: SyncResponse =
+            self.client.call(Method::POST, self.address, "/sync", &request).await?;
+        self.clock_sample = Some((self.clock.now(), response.now_ms));
+        Ok(response)
     }
 
     /// Starts an attempt.
     ///
     /// # Errors
     ///
-    /// No answer, or the worker refuses.
-    pub async fn start(&self, call: StartRequest) -> Result<(), CallError> {
-        self.client.call(Method::POST, self.address, "/start", &call).await
+    /// No response, or the worker refused.
+    pub async fn start(&self, request: StartRequest) -> Result<(), CallError> {
+        self.client.call(Method::POST, self.address, "/start", &request).await
     }
 
     /// Stops an attempt.
     ///
     /// # Errors
     ///
-    /// No answer, or the worker doesn't know the attempt.
+    /// No response, or the worker doesn't know the attempt.
     pub async fn stop(
         &self,
         key: AttemptKey,
         is_checkpointed: bool,
     ) -> Result<StopResponse, CallError> {
-        let call = StopRequest { holder: self.holder, key, is_checkpointed };
-        self.client.call(Method::POST, self.address, "/stop", &call).await
+        let request = StopRequest { holder: self.holder, key, is_checkpointed };
+        self.client.call(Method::POST, self.address, "/stop", &request).await
     }
 
-    /// Number of the agent's process.
+    /// Incarnation of the agent's process.
     pub fn holder(&self) -> Incarnation {
         self.holder
     }
 
-    /// Time in the worker's clock after which a start that is sent now is to be refused.
+    /// Time in the worker's clock after which the worker refuses a start sent now, in milliseconds;
+    /// `None` until the worker's clock has been read.
     pub fn start_deadline_ms(&self) -> Option<u64> {
-        self.in_worker_clock(self.clock.now() + CALL_TIMEOUT)
+        self.to_worker_clock(self.clock.now() + CALL_TIMEOUT)
     }
 
-    /// An instant of ours in the worker's clock, never later than the true one.
-    fn in_worker_clock(&self, instant: Instant) -> Option<u64> {
-        let (seen_at, worker_ms) = self.seen?;
-        let ahead = instant.saturating_duration_since(seen_at);
-        Some(worker_ms + ahead.as_millis() as u64)
+    /// Converts a local instant to the worker's clock; never later than the exact time, so that the
+    /// worker ends a lease no later than the agent does.
+    fn to_worker_clock(&self, instant: Instant) -> Option<u64> {
+        let (sampled_at, sampled_ms) = self.clock_sample?;
+        let elapsed = instant.saturating_duration_since(sampled_at);
+        Some(sampled_ms + elapsed.as_millis() as u64)
     }
 }
--- a/crates/teaseltrack-wire/src/cell.rs
+++ b/crates/teaseltrack-wire/src/cell.rs
@@ -1,4 +1,4 @@
-//! Calls to the processes that take part in a cell.
+//! RPC interface between the processes of a cell.
 
 use teaseltrack::cell::{
     job::{JobId, QueueName},
@@ -6,27 +6,28 @@
     protocol::{Report, ReportAnswer},
 };
 
-/// Bytes of the largest message.
+/// Maximum size of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// What an owner knows of a job.
+/// Result of looking up a job's state at a cell's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum JobLookup {
-    /// The asked process doesn't own the cell, or is still loading it.
+    /// The called process doesn't own the cell, or is still loading its state.
     NotOwner,
-    /// The owner doesn't know the job.
+    /// The cell has no such job.
     Unknown,
-    /// The job's state.
+    /// Current state of the job.
     State(JobState),
 }
 
-/// Calls to a cell's owner; whoever isn't the owner says so.
+/// Calls to a cell's owner; a process that isn't the owner returns a response that says so.
 #[tarpc::service]
 pub trait CellControl {
-    /// Takes an agent's report and hands out its orders.
+    /// Accepts an agent's report and returns orders for the agent.
     async fn report(report: Report) -> ReportAnswer;
-    /// State of a job.
+    /// Returns the state of a job.
     async fn job_state(job: JobId) -> JobLookup;
-    /// Jobs of a queue of which no task has started; `None` from a process that isn't the owner.
+    /// Returns the number of jobs of a queue without a started task; `None` from a process that
+    /// isn't the owner.
     async fn pending_count(queue: QueueName) -> Option<u64>;
 }
--- a/crates/teaseltrack-wire/src/control.rs
+++ b/crates/teaseltrack-wire/src/control.rs
@@ -1,6 +1,6 @@
-//! Control calls between instances.
+//! RPC interface between instances for membership, configuration and tasks.
 //!
-//! One service for entries and agents alike; an entry has no tasks and refuses the calls about them.
+//! Entries and agents serve the same interface; an entry runs no tasks and refuses the task calls.
 
 use serde::{Deserialize, Serialize};
 use teaseltrack::{
@@ -13,150 +13,150 @@
     task::TaskId,
 };
 
-/// Bytes of the largest control message.
+/// Maximum size of a control message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// A probe or its answer.
+/// Gossip message: a probe or its acknowledgement.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Gossip {
-    /// The sender.
+    /// Sender, as a member of the fleet.
     pub sender: Member,
-    /// Members whose state changed lately.
+    /// Recently changed members.
     #[serde(rename = "news")]
     pub updates: Vec<Member>,
-    /// Hash of the sender's digest.
+    /// Hash of the sender's membership digest.
     pub digest_hash: u64,
-    /// Configuration revision in force at the sender.
+    /// Configuration revision active at the sender.
     pub revision: Revision,
 }
 
-/// Room asked for before an assignment is committed.
+/// Request to reserve capacity for an attempt before its assignment is committed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReservationRequest {
     /// The task.
     pub task: TaskId,
-    /// The attempt that would be made.
+    /// The attempt to be assigned.
     pub attempt: AttemptNumber,
-    /// What it needs.
+    /// Resources to reserve.
     pub resources: Resources,
 }
 
-/// Answer to requests for room.
+/// Response to a batch of [`ReservationRequest`]s.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReservationResponse {
-    /// Whether each request got its room, in their order.
+    /// Whether each reservation was granted, in the order of the requests.
     pub granted: Vec<bool>,
-    /// Incarnation of the instance's lease; `None` while it holds none.
+    /// Incarnation of the instance's lease; `None` while the instance holds no lease.
     pub incarnation: Option<Incarnation>,
-    /// Capacity of the instance for tasks.
+    /// Total capacity of the instance for tasks.
     pub capacity: Resources,
-    /// Room that is left.
+    /// Free capacity.
     #[serde(rename = "room")]
     pub available: Resources,
 }
 
-/// A shard's owner, to whom reports go.
+/// Owner of a shard, to which reports are sent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ShardOwner {
     /// The shard.
     pub shard: ShardNumber,
-    /// Its ownership period.
+    /// Epoch of its ownership.
     pub epoch: Epoch,
     /// Address of the owner's control port.
     pub control_address: String,
 }
 
-/// A committed assignment that is to start.
+/// Order to start a committed assignment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartOrder {
     /// The task.
     pub task: TaskId,
-    /// The committed attempt.
+    /// The assigned attempt.
     pub attempt: AttemptNumber,
     /// Incarnation of the lease under which it runs.
     pub incarnation: Incarnation,
-    /// Specification of the job.
+    /// Specification of the task's job.
     pub spec: JobSpec,
-    /// Key of the checkpoint from which it resumes.
+    /// Key of the checkpoint to resume from.
     pub checkpoint: Option<String>,
 }
 
-/// Why a running attempt is to stop.
+/// Reason for stopping an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopCause {
-    /// It is checkpointed and resumes elsewhere.
+    /// The attempt is checkpointed, so that the task can resume elsewhere.
     Evict,
-    /// It is no longer wanted.
+    /// The attempt is no longer needed; its result is discarded.
     Cancel,
 }
 
-/// An attempt that is to stop.
+/// Order to stop an attempt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StopOrder {
     /// The task.
     pub task: TaskId,
     /// The attempt.
     pub attempt: AttemptNumber,
-    /// Why.
+    /// Reason for the stop.
     pub cause: StopCause,
 }
 
-/// What an agent has to tell of an attempt.
+/// Event in the lifecycle of an attempt, reported by its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptEvent {
-    /// It runs.
+    /// The attempt is running.
     Started,
-    /// It finished the task.
+    /// The attempt completed the task.
     Done,
-    /// It stopped behind a stored checkpoint.
+    /// The attempt was stopped after its checkpoint was stored.
     Evicted {
-        /// Key in the object store.
+        /// Key of the checkpoint in the object store.
         checkpoint: String,
-        /// Why.
+        /// Cause.
         reason: String,
     },
-    /// It failed.
+    /// The attempt failed.
     Failed {
-        /// Why.
+        /// Cause.
         reason: String,
     },
-    /// It didn't start, or ended without a result.
+    /// The attempt didn't start, or ended without a result.
     Released {
-        /// Why.
+        /// Cause.
         reason: String,
     },
 }
 
 impl AttemptEvent {
-    /// Whether the attempt is over.
+    /// Whether the attempt has ended.
     pub fn is_terminal(&self) -> bool {
         !matches!(self, Self::Started)
     }
 }
 
-/// Event of an attempt, repeated until it is acknowledged.
+/// Report of an attempt's event, resent until acknowledged.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AttemptReport {
     /// The task.
     pub task: TaskId,
     /// The attempt.
     pub attempt: AttemptNumber,
-    /// What happened.
+    /// The event.
     pub event: AttemptEvent,
 }
 
-/// Reports of one agent to one shard's owner.
+/// Batch of reports from one agent to one shard's owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReportBatch {
     /// The reporting instance.
     pub instance: InstanceId,
     /// Incarnation of its lease.
     pub incarnation: Incarnation,
-    /// Capacity of the instance for tasks.
+    /// Total capacity of the instance for tasks.
     pub capacity: Resources,
-    /// Room that is left.
+    /// Free capacity.
     #[serde(rename = "room")]
     pub available: Resources,
     /// The shard.
@@ -168,24 +168,26 @@
 /// Calls between instances.
 #[tarpc::service]
 pub trait Control {
-    /// Probes the instance and swaps news; an exchange follows if the digests differ.
+    /// Probes the instance and exchanges recent membership updates; the caller follows up with
+    /// `exchange` if the digests keep differing.
     async fn probe(gossip: Gossip) -> Gossip;
-    /// Probes another instance on the caller's behalf.
+    /// Probes another instance on the caller's behalf; returns whether it responded.
     async fn probe_through(control_address: String) -> bool;
-    /// Hands over the caller's members of differing buckets and gets the instance's.
+    /// Synchronizes membership: returns the instance's members in the buckets whose hashes differ
+    /// from the caller's digest.
     async fn exchange(digest: Digest) -> Vec<Member>;
-    /// Configuration changes after a revision.
+    /// Returns configuration changes after a revision.
     async fn changes_after(revision: Revision) -> ChangePage;
-    /// Says that the shard's inbox holds something new.
+    /// Notifies the owner of new commands in the shard's inbox.
     async fn wake_shard(shard: ShardNumber);
-    /// Asks for room.
+    /// Reserves capacity for attempts.
     async fn reserve_room(
         requests: Vec<ReservationRequest>,
     ) -> Result<ReservationResponse, ErrorKind>;
-    /// Starts committed assignments; events follow as reports.
+    /// Starts committed assignments; events are reported with `report_tasks`.
     async fn start_tasks(owner: ShardOwner, orders: Vec<StartOrder>) -> Result<(), ErrorKind>;
-    /// Stops attempts; events follow as reports.
+    /// Stops attempts; events are reported with `report_tasks`.
     async fn stop_tasks(owner: ShardOwner, orders: Vec<StopOrder>) -> Result<(), ErrorKind>;
-    /// Tells the shard's owner of events; answered after they are committed.
+    /// Reports events to the shard's owner; returns after they are committed.
     async fn report_tasks(batch: ReportBatch) -> Result<(), ErrorKind>;
 }
--- a/crates/teaseltrack-wire/src/operators.rs
+++ b/crates/teaseltrack-wire/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators send to and get from an entry, as JSON.
+//! JSON bodies of operators' requests to an entry and of the responses.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -10,58 +10,58 @@
     task::{Decision, Task},
 };
 
-/// A record's body as an operator sends it.
+/// Record as submitted by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmittedRecord {
-    /// Version of the schema that the body is written in.
+    /// Schema version of the body.
     pub schema_version: u32,
-    /// The specification.
+    /// Specification of the record.
     pub body: Value,
 }
 
-/// A job as it is shown.
+/// State of a job and its tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobView {
-    /// Its name.
+    /// Name of the job.
     pub job: String,
-    /// Its shard.
+    /// Shard of the job.
     pub shard: ShardNumber,
-    /// Whether it was withdrawn.
+    /// Whether the job was withdrawn.
     pub is_cancelled: bool,
-    /// Its tasks by state.
+    /// Number of tasks by state.
     pub counts: TaskCounts,
-    /// Its tasks by number.
+    /// Tasks in the order of their index.
     pub tasks: Vec<Task>,
 }
 
-/// Entries of a stream, as they are kept.
+/// Page of a stream's sealed entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryPage {
     /// Name of the stream.
     pub stream: String,
-    /// Entries after the one that was asked for; empty at the end.
+    /// Entries after the requested sequence number; empty at the end of the stream.
     pub entries: Vec<SealedEntry>,
 }
 
-/// One decision about a job and where it is written.
+/// Decision on a job, with its journal entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExplainedDecision {
-    /// Number of the entry.
+    /// Sequence number of the journal entry.
     pub sequence: u64,
     /// Time of the commit, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Who decided.
+    /// Operator or instance that made the decision.
     pub author: String,
-    /// What was decided and why.
+    /// The decision and its reason.
     pub decision: Decision,
 }
 
-/// The fleet as an entry knows it.
+/// Fleet membership as seen by an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// Configuration revision in force.
+    /// Active configuration revision.
     pub revision: Revision,
-    /// Members that may get work.
+    /// Members that are eligible for work.
     pub members: Vec<Member>,
 }
