--- a/crates/teaseltrack-platform/src/worker.rs
+++ b/crates/teaseltrack-platform/src/worker.rs
@@ -3,7 +3,7 @@
 //! A worker runs attempts under a lease whose deadline is expressed in the worker's clock: each
 //! sync response carries the worker's time, from which the agent converts the deadline. When the
 //! lease expires, the worker pauses its attempts on its own; a new incarnation drops them. Requests
-//! from a holder with a lower number than the current one are refused.
+//! from a holder with a lower incarnation than the current one are refused.
 
 use std::{
     net::SocketAddr,
--- a/crates/teaseltrack-wire/src/control.rs
+++ b/crates/teaseltrack-wire/src/control.rs
@@ -87,7 +87,7 @@
 pub enum StopCause {
     /// The attempt is checkpointed, so that the task can resume elsewhere.
     Evict,
-    /// The attempt is no longer needed; its result is discarded.
+    /// The attempt is no longer needed.
     Cancel,
 }
 
