--- a/crates/teaseltrack-agent/src/requests/capacity.rs
+++ b/crates/teaseltrack-agent/src/requests/capacity.rs
@@ -8,7 +8,8 @@
 use slog::{Logger, info, warn};
 use teaseltrack::{
     admission::{
-        Admission, AdmissionLimits, Offer, PermitKey, Refusal, RequestMeta, Start, TicketKey,
+        Admission, AdmissionDecision, AdmissionLimits, Dispatched, PermitKey, Refusal, RequestMeta,
+        TicketKey,
     },
     clock::SharedClock,
     membership::Announcement,
@@ -254,10 +255,10 @@
             return;
         }
         match self.admission.offer(self.clock.now(), offer.meta) {
-            Offer::Queued(ticket) => {
+            AdmissionDecision::Queued(ticket) => {
                 self.waiting.insert(ticket, offer.reply);
             }
-            Offer::Refused(refusal) => self.refuse(offer.reply, refusal),
+            AdmissionDecision::Refused(refusal) => self.refuse(offer.reply, refusal),
         }
     }
 
@@ -272,7 +273,7 @@
         let Some(target) = self.target.as_ref().map(|target| target.announcement.address) else {
             return;
         };
-        while let Some(Start { ticket, permit: key }) = self.admission.dispatch() {
+        while let Some(Dispatched { ticket, permit: key }) = self.admission.dispatch() {
             let permit = Permit { key, generation: self.generation, target };
             let reply = self.waiting.remove(&ticket);
             let is_taken = reply.is_some_and(|reply| reply.send(Ok(permit)).is_ok());
--- a/crates/teaseltrack-entry/src/callers/dispatcher.rs
+++ b/crates/teaseltrack-entry/src/callers/dispatcher.rs
@@ -226,17 +226,19 @@
         let key = self.router.choose(service, &self.zone, tried, now, &mut rand::rng())?;
         let agent = *self.agents.get(&key)?;
         let expected_latency = self.router.expected_latency(key, now);
-        self.router.begin(key);
+        self.router.begin_attempt(key);
         Some(ChosenTarget { key, agent, expected_latency })
     }
 
     fn end(&mut self, key: TargetKey, end: AttemptEnd) {
         let now: Instant = self.clock.now();
         match end {
-            AttemptEnd::Answered(latency, load) => self.router.finish(key, latency, load, now),
-            AttemptEnd::Refused(load) => self.router.refuse(key, load),
-            AttemptEnd::Failed(elapsed) => self.router.fail(key, elapsed, now),
-            AttemptEnd::Abandoned => self.router.refuse(key, None),
+            AttemptEnd::Answered(latency, load) => {
+                self.router.record_response(key, latency, load, now);
+            }
+            AttemptEnd::Refused(load) => self.router.end_unmeasured_attempt(key, load),
+            AttemptEnd::Failed(elapsed) => self.router.record_failure(key, elapsed, now),
+            AttemptEnd::Abandoned => self.router.end_unmeasured_attempt(key, None),
         }
     }
 
--- a/crates/teaseltrack-entry/src/callers/server.rs
+++ b/crates/teaseltrack-entry/src/callers/server.rs
@@ -183,7 +183,7 @@
                 kind: failure.kind,
                 attempts: tried.len().max(1) as u32,
                 is_idempotent: ready.is_idempotent,
-                is_answer_begun: false,
+                is_response_started: false,
                 remaining: self.remaining(ready),
             };
             let class = ready.class;
--- a/crates/teaseltrack/src/admission.rs
+++ b/crates/teaseltrack/src/admission.rs
@@ -87,7 +87,7 @@
 
 /// Answer to an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum AdmissionDecision {
     /// The request waits; a later [`Admission::dispatch`] names it.
     Queued(TicketKey),
     /// The request is refused and didn't run.
@@ -105,7 +105,7 @@
 
 /// A queued request that starts now and holds a slot until [`Admission::release`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Start {
+pub struct Dispatched {
     /// The queued request.
     pub ticket: TicketKey,
     /// Its slot.
@@ -221,7 +221,7 @@
     }
 
     /// Offers a request.
-    pub fn offer(&mut self, now: Instant, meta: RequestMeta) -> Offer {
+    pub fn offer(&mut self, now: Instant, meta: RequestMeta) -> AdmissionDecision {
         if self.is_draining {
             return self.refuse(ErrorKind::Draining, MIN_RETRY_AFTER);
         }
@@ -236,13 +236,13 @@
         if wait + self.service_time() > remaining {
             return self.refuse(ErrorKind::DeadlineUnmeetable, wait);
         }
-        Offer::Queued(self.enqueue(meta))
+        AdmissionDecision::Queued(self.enqueue(meta))
     }
 
     /// The next queued request to start; `None` when none can.
     ///
     /// Requests past their deadline must have been taken out by [`Self::expire`] before.
-    pub fn dispatch(&mut self) -> Option<Start> {
+    pub fn dispatch(&mut self) -> Option<Dispatched> {
         let class = self.next_class()?;
         let ticket = self.queues.get_mut(&class)?.pop()?;
         let waiting = self.waiting.remove(ticket)?;
@@ -250,7 +250,7 @@
         self.charge(class);
         let permit = self.running.insert(class);
         assert!(self.running.len() <= self.limits.slots as usize, "more requests than slots");
-        Some(Start { ticket, permit })
+        Some(Dispatched { ticket, permit })
     }
 
     /// Takes out a queued request whose deadline has passed; it didn't run.
@@ -288,8 +288,8 @@
         true
     }
 
-    fn refuse(&self, kind: ErrorKind, wait: Duration) -> Offer {
-        Offer::Refused(Refusal { kind, retry_after: wait.max(MIN_RETRY_AFTER) })
+    fn refuse(&self, kind: ErrorKind, wait: Duration) -> AdmissionDecision {
+        AdmissionDecision::Refused(Refusal { kind, retry_after: wait.max(MIN_RETRY_AFTER) })
     }
 
     fn enqueue(&mut self, meta: RequestMeta) -> TicketKey {
--- a/crates/teaseltrack/src/outcome.rs
+++ b/crates/teaseltrack/src/outcome.rs
@@ -72,7 +72,7 @@
 
 /// What a caller is told for an error kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerRule {
+pub struct ResponseRule {
     /// The kind that the rule is for.
     pub kind: ErrorKind,
     /// Name on the wire.
@@ -91,12 +91,12 @@
     status: u16,
     outcome: Outcome,
     is_retryable: bool,
-) -> AnswerRule {
-    AnswerRule { kind, name, status, outcome, is_retryable }
+) -> ResponseRule {
+    ResponseRule { kind, name, status, outcome, is_retryable }
 }
 
 /// The table from error kind to answer, one line for each kind.
-pub const ANSWER_RULES: [AnswerRule; 17] = [
+pub const RESPONSE_RULES: [ResponseRule; 17] = [
     rule(ErrorKind::InvalidInput, "invalid_input", 400, Outcome::NotRun, false),
     rule(ErrorKind::BodyTooLarge, "body_too_large", 413, Outcome::NotRun, false),
     rule(ErrorKind::NotFound, "not_found", 404, Outcome::NotRun, false),
@@ -118,8 +118,8 @@
 
 impl ErrorKind {
     /// The row of the table for this kind.
-    pub fn rule(self) -> &'static AnswerRule {
-        &ANSWER_RULES[self as usize]
+    pub fn rule(self) -> &'static ResponseRule {
+        &RESPONSE_RULES[self as usize]
     }
 
     /// Name on the wire.
@@ -134,7 +134,7 @@
 
     /// The kind of a name on the wire.
     pub fn from_name(name: &str) -> Option<Self> {
-        ANSWER_RULES.iter().find(|rule| rule.name == name).map(|rule| rule.kind)
+        RESPONSE_RULES.iter().find(|rule| rule.name == name).map(|rule| rule.kind)
     }
 }
 
--- a/crates/teaseltrack/src/retry.rs
+++ b/crates/teaseltrack/src/retry.rs
@@ -85,7 +85,7 @@
     /// Whether running the request twice does no harm.
     pub is_idempotent: bool,
     /// Whether the caller got part of an answer.
-    pub is_answer_begun: bool,
+    pub is_response_started: bool,
     /// Time until the caller's deadline.
     pub remaining: Duration,
 }
@@ -95,7 +95,7 @@
     let is_safe = failed.kind.outcome() == Outcome::NotRun || failed.is_idempotent;
     failed.kind.rule().is_retryable
         && is_safe
-        && !failed.is_answer_begun
+        && !failed.is_response_started
         && failed.attempts < MAX_ATTEMPTS
         && failed.remaining > MIN_BACKOFF
 }
--- a/crates/teaseltrack/src/routing.rs
+++ b/crates/teaseltrack/src/routing.rs
@@ -197,14 +197,14 @@
     }
 
     /// Counts an attempt that is sent to the target.
-    pub fn begin(&mut self, key: TargetKey) {
+    pub fn begin_attempt(&mut self, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
             target.in_flight += 1;
         }
     }
 
     /// Counts the end of an attempt that the target answered.
-    pub fn finish(
+    pub fn record_response(
         &mut self,
         key: TargetKey,
         latency: Duration,
@@ -219,14 +219,14 @@
     }
 
     /// Counts the end of an attempt that its agent refused.
-    pub fn refuse(&mut self, key: TargetKey, load: Option<LoadReport>) {
+    pub fn end_unmeasured_attempt(&mut self, key: TargetKey, load: Option<LoadReport>) {
         if let Some(target) = self.targets.get_mut(key) {
             target.end_attempt(load);
         }
     }
 
     /// Counts the end of an attempt that got no answer.
-    pub fn fail(&mut self, key: TargetKey, elapsed: Duration, now: Instant) {
+    pub fn record_failure(&mut self, key: TargetKey, elapsed: Duration, now: Instant) {
         let Some(target) = self.targets.get_mut(key) else { return };
         target.end_attempt(None);
         target.record_latency(elapsed, now);
--- a/crates/teaseltrack/tests/admission.rs
+++ b/crates/teaseltrack/tests/admission.rs
@@ -9,7 +9,9 @@
 
 use proptest::prelude::*;
 use teaseltrack::{
-    admission::{Admission, AdmissionLimits, CLASSES, Class, Offer, RequestMeta, TicketKey},
+    admission::{
+        Admission, AdmissionDecision, AdmissionLimits, CLASSES, Class, RequestMeta, TicketKey,
+    },
     outcome::{ErrorKind, Outcome},
 };
 use yare::parameterized;
@@ -22,8 +24,8 @@
 
 fn queue(admission: &mut Admission, now: Instant, class: Class, team: &str) -> TicketKey {
     match admission.offer(now, meta(class, team, now + Duration::from_secs(60))) {
-        Offer::Queued(ticket) => ticket,
-        Offer::Refused(refusal) => panic!("refused: {refusal:?}"),
+        AdmissionDecision::Queued(ticket) => ticket,
+        AdmissionDecision::Refused(refusal) => panic!("refused: {refusal:?}"),
     }
 }
 
@@ -43,7 +45,9 @@
         admission.drain();
     }
     let offered = meta(Class::Normal, "a", now + Duration::from_millis(remaining_ms));
-    let Offer::Refused(refusal) = admission.offer(now, offered) else { panic!("not refused") };
+    let AdmissionDecision::Refused(refusal) = admission.offer(now, offered) else {
+        panic!("not refused")
+    };
     assert_eq!(refusal.kind, kind);
     assert_eq!(refusal.kind.outcome(), Outcome::NotRun);
 }
@@ -140,8 +144,8 @@
                     let deadline = now + Duration::from_millis(deadline_ms);
                     let offered = meta(CLASSES[class], &team.to_string(), deadline);
                     match admission.offer(now, offered) {
-                        Offer::Queued(ticket) => prop_assert!(waiting.insert(ticket)),
-                        Offer::Refused(refusal) => {
+                        AdmissionDecision::Queued(ticket) => prop_assert!(waiting.insert(ticket)),
+                        AdmissionDecision::Refused(refusal) => {
                             prop_assert_eq!(refusal.kind.outcome(), Outcome::NotRun);
                         }
                     }
--- a/crates/teaseltrack/tests/retries.rs
+++ b/crates/teaseltrack/tests/retries.rs
@@ -11,7 +11,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use teaseltrack::{
-    outcome::{ANSWER_RULES, ErrorKind, Outcome},
+    outcome::{ErrorKind, Outcome, RESPONSE_RULES},
     quota::{Quota, Quotas},
     retry::{FailedAttempt, MAX_ATTEMPTS, RetryBudget, backoff_before_retry, is_retry_allowed},
 };
@@ -22,25 +22,25 @@
         kind,
         attempts: 1,
         is_idempotent,
-        is_answer_begun: false,
+        is_response_started: false,
         remaining: Duration::from_secs(1),
     }
 }
 
 #[test]
 fn answer_rules_in_order_of_kinds() {
-    for (index, rule) in ANSWER_RULES.iter().enumerate() {
+    for (index, rule) in RESPONSE_RULES.iter().enumerate() {
         assert_eq!(rule.kind as usize, index);
         assert_eq!(rule.kind.rule(), rule);
         assert_eq!(ErrorKind::from_name(rule.name), Some(rule.kind));
     }
-    let names: BTreeSet<&str> = ANSWER_RULES.iter().map(|rule| rule.name).collect();
-    assert_eq!(names.len(), ANSWER_RULES.len());
+    let names: BTreeSet<&str> = RESPONSE_RULES.iter().map(|rule| rule.name).collect();
+    assert_eq!(names.len(), RESPONSE_RULES.len());
 }
 
 #[test]
 fn answer_rules_unknown_never_retried_unless_idempotent() {
-    for rule in &ANSWER_RULES {
+    for rule in &RESPONSE_RULES {
         let is_allowed = is_retry_allowed(&failed(rule.kind, false));
         assert!(!is_allowed || rule.outcome == Outcome::NotRun, "{}", rule.name);
     }
@@ -62,7 +62,8 @@
 
 #[test]
 fn is_retry_allowed_not_after_answer_began() {
-    let begun = FailedAttempt { is_answer_begun: true, ..failed(ErrorKind::AnswerTruncated, true) };
+    let begun =
+        FailedAttempt { is_response_started: true, ..failed(ErrorKind::AnswerTruncated, true) };
     assert!(!is_retry_allowed(&begun));
 }
 
--- a/crates/teaseltrack/tests/routing.rs
+++ b/crates/teaseltrack/tests/routing.rs
@@ -57,14 +57,14 @@
     }
 
     fn answer(&mut self, index: usize, latency_ms: u64) {
-        self.router.begin(self.keys[index]);
+        self.router.begin_attempt(self.keys[index]);
         let latency = Duration::from_millis(latency_ms);
-        self.router.finish(self.keys[index], latency, None, self.now);
+        self.router.record_response(self.keys[index], latency, None, self.now);
     }
 
     fn fail(&mut self, index: usize) {
-        self.router.begin(self.keys[index]);
-        self.router.fail(self.keys[index], Duration::from_millis(5), self.now);
+        self.router.begin_attempt(self.keys[index]);
+        self.router.record_failure(self.keys[index], Duration::from_millis(5), self.now);
     }
 }
 
@@ -85,7 +85,7 @@
 fn choose_spills_when_own_zone_is_full() {
     let mut fixture = fixture(&[ZONE, "martin-b"]);
     (0..2).for_each(|index| fixture.answer(index, 5));
-    (0..8).for_each(|_| fixture.router.begin(fixture.keys[0]));
+    (0..8).for_each(|_| fixture.router.begin_attempt(fixture.keys[0]));
     assert_eq!(fixture.shares(), [0, DRAWS]);
 }
 
@@ -130,8 +130,8 @@
     let mut fixture = fixture(&[ZONE, ZONE, ZONE]);
     fixture.router.set_suspected(fixture.keys[0], true);
     let draining = LoadReport { is_draining: true, ..LoadReport::default() };
-    fixture.router.begin(fixture.keys[1]);
-    fixture.router.refuse(fixture.keys[1], Some(draining));
+    fixture.router.begin_attempt(fixture.keys[1]);
+    fixture.router.end_unmeasured_attempt(fixture.keys[1], Some(draining));
     assert_eq!(fixture.shares(), [0, 0, DRAWS]);
 }
 
@@ -139,8 +139,8 @@
 fn upsert_new_incarnation_forgets_draining() {
     let mut fixture = fixture(&[ZONE, "martin-b"]);
     let draining = LoadReport { is_draining: true, ..LoadReport::default() };
-    fixture.router.begin(fixture.keys[0]);
-    fixture.router.refuse(fixture.keys[0], Some(draining));
+    fixture.router.begin_attempt(fixture.keys[0]);
+    fixture.router.end_unmeasured_attempt(fixture.keys[0], Some(draining));
     assert_eq!(fixture.shares()[0], 0);
     fixture.keys[0] = fixture.router.upsert(info(0, ZONE, 2), fixture.now);
     fixture.now += Duration::from_secs(60);
