--- a/crates/teaseltrack/src/admission.rs
+++ b/crates/teaseltrack/src/admission.rs
@@ -1,8 +1,9 @@
-//! Admission of requests at the agent, the only owner of a target's slots.
+//! Admission control at the agent, which alone allocates the slots of its target.
 //!
-//! A request either starts, waits in a bounded queue, or is refused with a kind that proves that it
-//! didn't run. Free slots are shared between classes by weight (start-time fair queueing) and between
-//! the teams of a class in turn, so that a flood of any one class leaves the others their share.
+//! A request is dispatched, queued up to a bound, or refused with an error kind that guarantees
+//! that it didn't run. Free slots are shared between classes by weight (start-time fair queueing)
+//! and between the teams of a class by round robin, so that a flood of requests in one class or
+//! from one team doesn't starve the others.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -16,11 +17,11 @@
 new_key_type! {
     /// Key of a queued request.
     pub struct TicketKey;
-    /// Key of a running request, which holds one slot.
+    /// Key of a running request, which occupies one slot.
     pub struct PermitKey;
 }
 
-/// Class of a request by its RFC 9218 urgency.
+/// Priority class of a request, derived from its RFC 9218 urgency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
     /// Urgency 0 to 2.
@@ -35,18 +36,18 @@
 pub const CLASSES: [Class; 3] = [Class::Urgent, Class::Normal, Class::Background];
 /// Highest RFC 9218 urgency value, the least urgent.
 pub const MAX_URGENCY: u32 = 7;
-/// RFC 9218 urgency of a request that names none.
+/// RFC 9218 urgency of a request that doesn't specify one.
 pub const DEFAULT_URGENCY: u32 = 3;
 
-/// Virtual time that one start costs a class of weight 1.
-const START_COST: u64 = 12;
-/// Service time assumed before the first measurement.
+/// Virtual time charged to a class of weight 1 for each dispatch; a multiple of every weight.
+const DISPATCH_COST: u64 = 12;
+/// Service time assumed before the first latency sample.
 const ASSUMED_SERVICE_TIME: Duration = Duration::from_millis(1);
-/// Least advice on when to try again.
+/// Minimum retry delay that a refusal advises.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 impl Class {
-    /// The class of an urgency value.
+    /// Maps an urgency value to its class.
     pub fn from_urgency(urgency: u32) -> Self {
         match urgency {
             0..=2 => Self::Urgent,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Share of the slots against the other classes that have work.
+    /// Weight of the class in the division of slots between backlogged classes.
     pub fn weight(self) -> u64 {
         match self {
             Self::Urgent => 4,
@@ -65,55 +66,55 @@
     }
 }
 
-/// Bounds of one target.
+/// Concurrency and queue limits of one target.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionLimits {
-    /// Requests that the target takes at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Requests of one class that may wait.
+    /// Maximum number of queued requests per class.
     pub queue_per_class: usize,
 }
 
-/// What admission needs to know of a request.
+/// Request attributes that admission depends on.
 #[derive(Clone, Debug)]
 pub struct RequestMeta {
     /// Class of the request.
     pub class: Class,
-    /// Team that pays for the request.
+    /// Team that the request is attributed to.
     pub team: TeamName,
-    /// Instant after which the answer is useless.
+    /// Instant after which the caller has no use for a response.
     pub deadline: Instant,
 }
 
-/// Answer to an offered request.
+/// Outcome of [`Admission::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// The request waits; a later [`Admission::dispatch`] names it.
+    /// The request is queued until [`Admission::dispatch`] returns its ticket.
     Queued(TicketKey),
-    /// The request is refused and didn't run.
+    /// The request is refused and won't run.
     Refused(Refusal),
 }
 
-/// A refusal, which proves that the request didn't run.
+/// Refusal of a request that is guaranteed not to have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub kind: ErrorKind,
-    /// When another try may do better.
+    /// Delay after which a retry may succeed.
     pub retry_after: Duration,
 }
 
-/// A queued request that starts now and holds a slot until [`Admission::release`].
+/// A dispatched request, which occupies a slot until [`Admission::release`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dispatched {
-    /// The queued request.
+    /// Key that the request had in the queue.
     pub ticket: TicketKey,
-    /// Its slot.
+    /// Key of its slot.
     pub permit: PermitKey,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedRequest {
     class: Class,
     team: TeamName,
     deadline: Instant,
@@ -124,28 +125,28 @@
     virtual_time: u64,
     queued: usize,
     by_team: BTreeMap<TeamName, VecDeque<TicketKey>>,
-    turns: VecDeque<TeamName>,
+    team_rotation: VecDeque<TeamName>,
 }
 
 impl ClassQueue {
     fn push(&mut self, team: &TeamName, ticket: TicketKey) {
         let tickets = self.by_team.entry(team.clone()).or_default();
         if tickets.is_empty() {
-            self.turns.push_back(team.clone());
+            self.team_rotation.push_back(team.clone());
         }
         tickets.push_back(ticket);
         self.queued += 1;
     }
 
     fn pop(&mut self) -> Option<TicketKey> {
-        let team = self.turns.pop_front()?;
+        let team = self.team_rotation.pop_front()?;
         let tickets = self.by_team.get_mut(&team)?;
         let ticket = tickets.pop_front()?;
         self.queued -= 1;
         if tickets.is_empty() {
             self.by_team.remove(&team);
         } else {
-            self.turns.push_back(team);
+            self.team_rotation.push_back(team);
         }
         Some(ticket)
     }
@@ -157,17 +158,17 @@
         self.queued -= before - tickets.len();
         if tickets.is_empty() {
             self.by_team.remove(team);
-            self.turns.retain(|other| other != team);
+            self.team_rotation.retain(|other| other != team);
         }
     }
 }
 
-/// Capacity ledger and queue of one target.
+/// Slot allocation and request queues of one target.
 #[derive(Debug)]
 pub struct Admission {
     limits: AdmissionLimits,
     concurrency: ConcurrencyLimit,
-    waiting: SlotMap<TicketKey, Waiting>,
+    waiting: SlotMap<TicketKey, QueuedRequest>,
     by_deadline: BTreeSet<(Instant, TicketKey)>,
     running: SlotMap<PermitKey, Class>,
     queues: BTreeMap<Class, ClassQueue>,
@@ -176,7 +177,7 @@
 }
 
 impl Admission {
-    /// An empty ledger.
+    /// Creates the state of a target without requests.
     pub fn new(limits: AdmissionLimits) -> Self {
         Self {
             limits,
@@ -190,37 +191,37 @@
         }
     }
 
-    /// Running requests.
+    /// Number of running requests.
     pub fn in_flight(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Waiting requests.
+    /// Number of queued requests.
     pub fn queued(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Requests that may run at once at present.
+    /// Current concurrency limit.
     pub fn limit(&self) -> u32 {
         self.concurrency.current()
     }
 
-    /// Smoothed service latency over its remembered minimum.
+    /// Ratio of the smoothed service latency to its baseline.
     pub fn latency_ratio(&self) -> f64 {
         self.concurrency.latency_ratio()
     }
 
-    /// Whether new work is refused.
+    /// Whether new requests are refused.
     pub fn is_draining(&self) -> bool {
         self.is_draining
     }
 
-    /// Refuses new work from now on; queued and running work goes on.
+    /// Refuses new requests from now on; queued and running requests are completed.
     pub fn drain(&mut self) {
         self.is_draining = true;
     }
 
-    /// Offers a request.
+    /// Queues a request, or refuses it if it can't be completed within its deadline.
     pub fn offer(&mut self, now: Instant, meta: RequestMeta) -> AdmissionDecision {
         if self.is_draining {
             return self.refuse(ErrorKind::Draining, MIN_RETRY_AFTER);
@@ -239,21 +240,24 @@
         AdmissionDecision::Queued(self.enqueue(meta))
     }
 
-    /// The next queued request to start; `None` when none can.
+    /// Dispatches the next queued request; `None` if no request is queued or no slot is free.
     ///
-    /// Requests past their deadline must have been taken out by [`Self::expire`] before.
+    /// Doesn't check deadlines: remove requests past their deadline with [`Self::expire`] first.
     pub fn dispatch(&mut self) -> Option<Dispatched> {
         let class = self.next_class()?;
         let ticket = self.queues.get_mut(&class)?.pop()?;
-        let waiting = self.waiting.remove(ticket)?;
-        self.by_deadline.remove(&(waiting.deadline, ticket));
+        let request = self.waiting.remove(ticket)?;
+        self.by_deadline.remove(&(request.deadline, ticket));
         self.charge(class);
         let permit = self.running.insert(class);
-        assert!(self.running.len() <= self.limits.slots as usize, "more requests than slots");
+        assert!(
+            self.running.len() <= self.limits.slots as usize,
+            "more running requests than slots"
+        );
         Some(Dispatched { ticket, permit })
     }
 
-    /// Takes out a queued request whose deadline has passed; it didn't run.
+    /// Removes one queued request whose deadline has passed; it didn't run.
     pub fn expire(&mut self, now: Instant) -> Option<TicketKey> {
         let (deadline, ticket) = *self.by_deadline.first()?;
         if deadline > now {
@@ -263,12 +267,12 @@
         Some(ticket)
     }
 
-    /// The earliest deadline of a queued request.
+    /// Earliest deadline among the queued requests.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Frees the slot of a finished request; `latency` is given for an answered one.
+    /// Frees the slot of a finished request; `latency` is `None` if the target didn't respond.
     pub fn release(&mut self, permit: PermitKey, latency: Option<Duration>) {
         if self.running.remove(permit).is_none() {
             return;
@@ -278,12 +282,12 @@
         }
     }
 
-    /// Takes back a queued request; true if it was still waiting and so never runs.
+    /// Cancels a queued request; true if it was still queued, so that it won't run.
     pub fn cancel(&mut self, ticket: TicketKey) -> bool {
-        let Some(waiting) = self.waiting.remove(ticket) else { return false };
-        self.by_deadline.remove(&(waiting.deadline, ticket));
-        if let Some(queue) = self.queues.get_mut(&waiting.class) {
-            queue.remove(&waiting.team, ticket);
+        let Some(request) = self.waiting.remove(ticket) else { return false };
+        self.by_deadline.remove(&(request.deadline, ticket));
+        if let Some(queue) = self.queues.get_mut(&request.class) {
+            queue.remove(&request.team, ticket);
         }
         true
     }
@@ -295,7 +299,7 @@
     fn enqueue(&mut self, meta: RequestMeta) -> TicketKey {
         let virtual_now = self.virtual_now;
         let RequestMeta { class, team, deadline } = meta;
-        let ticket = self.waiting.insert(Waiting { class, team: team.clone(), deadline });
+        let ticket = self.waiting.insert(QueuedRequest { class, team: team.clone(), deadline });
         self.by_deadline.insert((deadline, ticket));
         let queue = self.queues.entry(class).or_default();
         if queue.queued == 0 {
@@ -309,8 +313,8 @@
         if self.in_flight() >= self.limit() {
             return None;
         }
-        let with_work = self.queues.iter().filter(|(_, queue)| queue.queued > 0);
-        with_work
+        let backlogged = self.queues.iter().filter(|(_, queue)| queue.queued > 0);
+        backlogged
             .min_by_key(|(class, queue)| (queue.virtual_time, **class))
             .map(|(class, _)| *class)
     }
@@ -318,23 +322,24 @@
     fn charge(&mut self, class: Class) {
         let Some(queue) = self.queues.get_mut(&class) else { return };
         self.virtual_now = queue.virtual_time;
-        queue.virtual_time += START_COST / class.weight();
+        queue.virtual_time += DISPATCH_COST / class.weight();
     }
 
     fn service_time(&self) -> Duration {
         self.concurrency.latency().unwrap_or(ASSUMED_SERVICE_TIME)
     }
 
-    /// Time until a new request of the class would start, from the work queued ahead of it.
+    /// Expected queueing delay of a new request, from its position and the class's share of slots.
     fn expected_wait(&self, class: Class) -> Duration {
         if self.in_flight() < self.limit() && self.waiting.is_empty() {
             return Duration::ZERO;
         }
-        let busy = self.queues.iter().filter(|(other, queue)| queue.queued > 0 || **other == class);
-        let total_weight: u64 = busy.map(|(other, _)| other.weight()).sum();
+        let competing =
+            self.queues.iter().filter(|(other, queue)| queue.queued > 0 || **other == class);
+        let total_weight: u64 = competing.map(|(other, _)| other.weight()).sum();
         let share = class.weight() as f64 / total_weight as f64;
-        let ahead = self.queues[&class].queued as f64 + 1.0;
-        let starts_at_once = (f64::from(self.limit()) * share).max(0.1);
-        self.service_time().mul_f64(ahead / starts_at_once)
+        let queue_position = self.queues[&class].queued as f64 + 1.0;
+        let class_slots = (f64::from(self.limit()) * share).max(0.1);
+        self.service_time().mul_f64(queue_position / class_slots)
     }
 }
--- a/crates/teaseltrack/src/clock.rs
+++ b/crates/teaseltrack/src/clock.rs
@@ -1,6 +1,6 @@
-//! The clock as an interface.
+//! Clock abstraction.
 //!
-//! Decisions take the time as an argument; whatever has to ask for it asks a [`Clock`].
+//! Decision functions take the time as an argument; code that reads the time uses a [`Clock`].
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -11,14 +11,14 @@
 pub trait Clock: Send + Sync {
     /// Monotonic time.
     fn now(&self) -> Instant;
-    /// Time of day, for records and logs only.
+    /// Wall-clock time, for timestamps in records and logs only.
     fn wall_now(&self) -> SystemTime;
 }
 
 /// Clock shared between the tasks of a process.
 pub type SharedClock = Arc<dyn Clock>;
 
-/// Clock of the operating system.
+/// Operating system clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Clock that moves only when told to.
+/// Manually advanced clock, for tests and simulations.
 #[derive(Debug)]
 pub struct ManualClock {
     start: Instant,
@@ -40,12 +40,12 @@
 }
 
 impl ManualClock {
-    /// Starts at the given instant.
+    /// Creates a clock that is stopped at the given instant.
     pub fn new(start: Instant) -> Self {
         Self { start, elapsed: Mutex::new(Duration::ZERO) }
     }
 
-    /// Moves the clock forward.
+    /// Advances the clock.
     pub fn advance(&self, step: Duration) {
         *self.elapsed.lock().unwrap_or_else(PoisonError::into_inner) += step;
     }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Milliseconds since the Unix epoch; 0 for a time before it.
+/// Milliseconds since the Unix epoch; 0 for a time before the epoch.
 pub fn unix_ms(time: SystemTime) -> u64 {
     time.duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/teaseltrack/src/configuration.rs
+++ b/crates/teaseltrack/src/configuration.rs
@@ -1,7 +1,7 @@
-//! The configuration in force at one process.
+//! Active configuration of one process.
 //!
-//! Records are applied in the order of their revisions, and only higher ones, so that the
-//! configuration never reverts. Peers hand each other what came after a revision.
+//! A record replaces another only if its revision is higher, so that the configuration never
+//! reverts to an earlier state. Peers exchange the records that follow a given revision, in pages.
 
 use std::collections::BTreeMap;
 
@@ -13,32 +13,32 @@
     record::{Record, RecordKind, ServiceSpec, Spec, parse_spec},
 };
 
-/// Records that came after a revision, superseded ones left out.
+/// Page of the records that follow a revision, without superseded ones.
 ///
-/// Several pages may be needed. A process counts a revision as in force only after the last of them,
-/// since a record left out as superseded may come with any later page.
+/// A revision becomes active only once the last page has been applied: where a superseded record
+/// was omitted, its replacement may be on any later page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChangePage {
-    /// Records by rising revision.
+    /// Records in ascending order of revision.
     pub records: Vec<Record>,
-    /// Revision in force at the source, if this is the last page.
+    /// Active revision of the source, if this is the last page.
     pub complete_revision: Option<Revision>,
 }
 
 impl ChangePage {
-    /// The only page, or the last.
+    /// Creates the last or only page.
     pub fn complete(records: Vec<Record>, revision: Revision) -> Self {
         Self { records, complete_revision: Some(revision) }
     }
 
-    /// Revision after which the next page begins; `None` after the last.
+    /// Revision after which the next page begins; `None` for the last page.
     pub fn next_after(&self) -> Option<Revision> {
         let is_last = self.complete_revision.is_some();
         self.records.last().map(|record| record.revision).filter(|_| !is_last)
     }
 }
 
-/// Records in force and what was parsed of them.
+/// Applied records and the specifications parsed from them.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
     revision: Revision,
@@ -48,27 +48,27 @@
 }
 
 impl Configuration {
-    /// Revision in force.
+    /// Active revision.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Specification of a service in force.
+    /// Active specification of a service.
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
 
-    /// Quota of a team in force.
+    /// Active quota of a team.
     pub fn quota(&self, team: &str) -> Option<Quota> {
         self.quotas.get(team).copied()
     }
 
-    /// Number of records held, withdrawn ones included.
+    /// Number of stored records, including withdrawn ones.
     pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Applies a page; true if the revision in force went up.
+    /// Applies a page; true if the active revision increased.
     pub fn apply(&mut self, page: ChangePage) -> bool {
         for record in page.records {
             self.apply_record(record);
@@ -79,7 +79,7 @@
         is_higher
     }
 
-    /// A page of what came after a revision, at most `limit` records.
+    /// Page of at most `limit` records that follow a revision.
     pub fn page_after(&self, revision: Revision, limit: usize) -> ChangePage {
         let mut records: Vec<&Record> =
             self.records.values().filter(|record| record.revision > revision).collect();
@@ -97,14 +97,14 @@
             return;
         }
         let key = (record.kind, record.name.clone());
-        if self.records.get(&key).is_some_and(|held| held.revision >= record.revision) {
+        if self.records.get(&key).is_some_and(|existing| existing.revision >= record.revision) {
             return;
         }
-        self.put_in_force(&record);
+        self.activate(&record);
         self.records.insert(key, record);
     }
 
-    fn put_in_force(&mut self, record: &Record) {
+    fn activate(&mut self, record: &Record) {
         let name = &record.name;
         match record.kind {
             RecordKind::Service => drop(self.services.remove(name)),
--- a/crates/teaseltrack/src/ids.rs
+++ b/crates/teaseltrack/src/ids.rs
@@ -1,8 +1,8 @@
-//! Type aliases for the identifiers that travel between processes.
+//! Type aliases for identifiers exchanged between processes.
 
-/// Name of an instance, unique in the fleet; from the settings.
+/// Name of an instance, unique in the fleet; set in the configuration file.
 pub type InstanceId = String;
-/// Name of an availability zone; from the settings.
+/// Name of an availability zone; set in the configuration file.
 pub type ZoneName = String;
 /// Name of a service record.
 pub type ServiceName = String;
@@ -10,15 +10,15 @@
 pub type JobName = String;
 /// Name of a team record.
 pub type TeamName = String;
-/// Identifier of one request, given by the caller or by the entry.
+/// Identifier of a request, assigned by the caller or the entry.
 pub type RequestId = String;
-/// Number of a configuration change; only goes up.
+/// Number of a configuration change; increases monotonically.
 pub type Revision = u64;
-/// Number of an ownership period of a shard; only goes up.
+/// Number of an ownership period of a shard; increases monotonically.
 pub type Epoch = u64;
-/// Number of a start of one task; only goes up.
+/// Number of an attempt at a task; increases monotonically.
 pub type AttemptNumber = u32;
-/// Number of a life or state of an instance; only goes up.
+/// Version of an instance's member entry; raised only by the instance, at each restart and change.
 pub type Incarnation = u64;
-/// Number of a job shard.
+/// Number of a shard of the jobs.
 pub type ShardNumber = u16;
--- a/crates/teaseltrack/src/lib.rs
+++ b/crates/teaseltrack/src/lib.rs
@@ -1,13 +1,13 @@
-//! Coordination parts of the teaseltrack scheduler.
+//! Decision logic of the teaseltrack scheduler.
 //!
-//! Everything here is a plain struct or function that decides: no sockets, no threads, no reads of
-//! the system clock. The time is an argument, randomness is an argument, and what a decision asks
-//! for is its return value. The daemons carry the decisions out; others may embed the same parts.
+//! The crate does no I/O, starts no threads and, apart from [`clock::SystemClock`], doesn't read
+//! the system clock. Time and randomness are passed in as arguments, and each decision is returned
+//! as a value. The daemons execute the decisions; other programs can embed the same modules.
 //!
 //! - Requests: [`admission`], [`concurrency_limit`], [`routing`], [`retry`], [`quota`], [`outcome`].
 //! - Membership and configuration: [`membership`], [`record`], [`configuration`].
-//! - Jobs of dependent stages: [`cell`].
-//! - Tasks: [`task`], [`shard`], [`placement`], [`lease`], [`journal`].
+//! - Scheduling of multi-stage jobs on a cell: [`cell`].
+//! - Tasks: [`task`], [`shard`], [`placement`], [`lease`], [`journal`], [`throttle`].
 
 pub mod admission;
 pub mod cell;
--- a/crates/teaseltrack/src/outcome.rs
+++ b/crates/teaseltrack/src/outcome.rs
@@ -1,19 +1,19 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! Error kinds, and the response that a caller receives for each.
 //!
-//! Every request ends in one of three outcomes. `NotRun` is a proof: no byte of the request reached
-//! the target. Whoever can't prove it says `Unknown`.
+//! Every request ends in one of three outcomes. `NotRun` guarantees that no byte of the request
+//! reached the target; a process that can't guarantee this reports `Unknown`.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How a request ended.
+/// Final status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The whole answer was handed over.
+    /// The complete response was delivered.
     Done,
-    /// The request was proved not to have run.
+    /// The request is guaranteed not to have run.
     NotRun,
     /// The request may or may not have run.
     Unknown,
@@ -30,58 +30,58 @@
     }
 }
 
-/// Why a request, command or query was not answered as asked.
+/// Reason why a request, command or query failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
-    /// A header, field or key has an impossible value.
+    /// A header, field or key has an invalid value.
     InvalidInput,
     /// The body is larger than the limit.
     BodyTooLarge,
-    /// The named service, record or task doesn't exist.
+    /// The requested service, record or task doesn't exist.
     NotFound,
-    /// The record exists already.
+    /// A record of this name already exists.
     AlreadyExists,
-    /// Another operator changed the record first.
+    /// The record has been changed since the revision that the command is based on.
     RevisionConflict,
-    /// The team used up its quota.
+    /// The team has exhausted its quota.
     QuotaExceeded,
-    /// The queue of the request's flow is full.
+    /// The queue of the request's class is full.
     QueueFull,
-    /// The deadline can't be met given the work ahead.
+    /// The deadline can't be met given the requests that are already queued.
     DeadlineUnmeetable,
     /// The deadline passed while the request was queued.
     DeadlineExceeded,
     /// No target of the service is known.
     NoTarget,
-    /// The process takes no new work.
+    /// The process is draining and accepts no new requests.
     Draining,
-    /// No connection to the target or agent could be made.
+    /// No connection to the target or agent could be established.
     Unreachable,
-    /// The request was sent and its answer never came.
+    /// The request was sent and no response was received.
     AnswerLost,
-    /// The answer stopped short.
+    /// The response ended early.
     AnswerTruncated,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     AnswerMismatched,
-    /// The platform's store doesn't answer.
+    /// The platform's store doesn't respond.
     StoreUnavailable,
-    /// A fault in this program.
+    /// Internal error of this process.
     Internal,
 }
 
-/// What a caller is told for an error kind.
+/// Response to a caller for one error kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseRule {
-    /// The kind that the rule is for.
+    /// Error kind that the rule applies to.
     pub kind: ErrorKind,
     /// Name on the wire.
     pub name: &'static str,
     /// HTTP status code.
     pub status: u16,
-    /// What is known about the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Whether another target may do better at once.
+    /// Whether an immediate retry on another target may succeed.
     pub is_retryable: bool,
 }
 
@@ -95,7 +95,7 @@
     ResponseRule { kind, name, status, outcome, is_retryable }
 }
 
-/// The table from error kind to answer, one line for each kind.
+/// Response rules of all error kinds, indexed by kind.
 pub const RESPONSE_RULES: [ResponseRule; 17] = [
     rule(ErrorKind::InvalidInput, "invalid_input", 400, Outcome::NotRun, false),
     rule(ErrorKind::BodyTooLarge, "body_too_large", 413, Outcome::NotRun, false),
@@ -117,7 +117,7 @@
 ];
 
 impl ErrorKind {
-    /// The row of the table for this kind.
+    /// Response rule of this kind.
     pub fn rule(self) -> &'static ResponseRule {
         &RESPONSE_RULES[self as usize]
     }
@@ -127,12 +127,12 @@
         self.rule().name
     }
 
-    /// What is known about a request that ended this way.
+    /// Outcome of a request that failed with this kind.
     pub fn outcome(self) -> Outcome {
         self.rule().outcome
     }
 
-    /// The kind of a name on the wire.
+    /// Parses a name on the wire.
     pub fn from_name(name: &str) -> Option<Self> {
         RESPONSE_RULES.iter().find(|rule| rule.name == name).map(|rule| rule.kind)
     }
--- a/crates/teaseltrack/src/quota.rs
+++ b/crates/teaseltrack/src/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas by team: a token bucket each.
+//! Request quotas: a token bucket per team.
 
 use std::{
     collections::BTreeMap,
@@ -7,7 +7,7 @@
 
 use crate::ids::TeamName;
 
-/// Tokens that refill at a rate, up to a burst.
+/// Token bucket with a constant refill rate and a maximum of `burst` tokens.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate_per_s: f64,
@@ -17,24 +17,24 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate_per_s: f64, burst: f64, now: Instant) -> Self {
         Self { rate_per_s, burst, tokens: burst, refilled_at: now }
     }
 
-    /// Takes the tokens, or says how long until they are there.
+    /// Takes tokens if the bucket contains enough of them.
     ///
     /// # Errors
     ///
-    /// The wait until the bucket holds enough.
+    /// The time until the bucket contains enough, at most an hour.
     pub fn take(&mut self, tokens: f64, now: Instant) -> Result<(), Duration> {
         self.refill(now);
         if self.tokens >= tokens {
             self.tokens -= tokens;
             return Ok(());
         }
-        let missing = tokens - self.tokens;
-        Err(Duration::from_secs_f64((missing / self.rate_per_s.max(1e-6)).min(3_600.0)))
+        let deficit = tokens - self.tokens;
+        Err(Duration::from_secs_f64((deficit / self.rate_per_s.max(1e-6)).min(3_600.0)))
     }
 
     fn refill(&mut self, now: Instant) {
@@ -44,47 +44,50 @@
     }
 }
 
-/// Quota of a team over the whole fleet.
+/// Fleet-wide quota of a team.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Sustained requests per second.
     pub rate_per_s: f64,
-    /// Requests that may come at once.
+    /// Maximum burst, in requests.
     pub burst: f64,
 }
 
-/// Quotas of all teams at one entry, which enforces its share of each.
+/// Quotas of all teams at one entry.
+///
+/// Each entry enforces an equal part of a quota. When the quota or the number of entries changes,
+/// the team gets a new bucket, which is full.
 #[derive(Debug, Default)]
 pub struct Quotas {
     buckets: BTreeMap<TeamName, (Quota, TokenBucket)>,
 }
 
 impl Quotas {
-    /// Counts one request of the team against its share `1 / entries` of the quota.
+    /// Charges one request of the team to this entry's part of the quota, `1 / entry_count`.
     ///
     /// # Errors
     ///
-    /// The wait until the team may send again.
+    /// The time until the team's next request is within the quota.
     pub fn take(
         &mut self,
         team: &str,
         quota: Quota,
-        entries: u32,
+        entry_count: u32,
         now: Instant,
     ) -> Result<(), Duration> {
-        let entries = f64::from(entries.max(1));
-        let share = Quota {
-            rate_per_s: quota.rate_per_s / entries,
-            burst: (quota.burst / entries).max(1.0),
+        let entry_count = f64::from(entry_count.max(1));
+        let part = Quota {
+            rate_per_s: quota.rate_per_s / entry_count,
+            burst: (quota.burst / entry_count).max(1.0),
         };
-        if let Some((held, bucket)) = self.buckets.get_mut(team)
-            && *held == share
+        if let Some((enforced, bucket)) = self.buckets.get_mut(team)
+            && *enforced == part
         {
             return bucket.take(1.0, now);
         }
-        let mut bucket = TokenBucket::new(share.rate_per_s, share.burst, now);
+        let mut bucket = TokenBucket::new(part.rate_per_s, part.burst, now);
         let result = bucket.take(1.0, now);
-        self.buckets.insert(team.to_owned(), (share, bucket));
+        self.buckets.insert(team.to_owned(), (part, bucket));
         result
     }
 }
--- a/crates/teaseltrack/src/retry.rs
+++ b/crates/teaseltrack/src/retry.rs
@@ -1,7 +1,8 @@
-//! Whether and when a failed attempt is made again.
+//! Retry policy for failed attempts.
 //!
-//! Work that isn't idempotent is sent again only after a proved `NotRun`. Retries are paid for by a
-//! share of the first attempts, and neither a back-off nor a retry ever goes past the deadline.
+//! A request that isn't idempotent is retried only if the outcome is `NotRun`, which guarantees
+//! that it didn't run. A budget limits retries to a fraction of the first attempts, so that retries
+//! can't amplify an overload. Neither a backoff nor a retry extends past the caller's deadline.
 
 use std::time::Duration;
 
@@ -9,18 +10,18 @@
 
 use crate::outcome::{ErrorKind, Outcome};
 
-/// Retries that each first attempt pays for.
+/// Retries that each first attempt adds to the budget.
 const DEPOSIT_PER_ATTEMPT: f64 = 0.1;
-/// Retries that may be saved up.
+/// Maximum balance of the budget, in retries.
 const MAX_BALANCE: f64 = 20.0;
-/// Attempts of one request, the first included.
+/// Maximum attempts per request, including the first.
 pub const MAX_ATTEMPTS: u32 = 4;
-/// Shortest back-off.
+/// Minimum backoff.
 const MIN_BACKOFF: Duration = Duration::from_millis(2);
-/// Longest back-off.
+/// Maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Retries that may be made, as a share of first attempts.
+/// Budget that limits retries and hedges to a fraction of the first attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     balance: f64,
@@ -33,12 +34,12 @@
 }
 
 impl RetryBudget {
-    /// Counts one first attempt.
+    /// Credits the budget for one first attempt.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + DEPOSIT_PER_ATTEMPT).min(MAX_BALANCE);
     }
 
-    /// Pays for one retry; false if the budget is used up.
+    /// Charges one retry or hedge; false if the budget is exhausted.
     pub fn withdraw(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
@@ -48,7 +49,7 @@
     }
 }
 
-/// Jittered waits that double from a least to a longest one.
+/// Exponential backoff with jitter.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     min: Duration,
@@ -57,19 +58,19 @@
 }
 
 impl Backoff {
-    /// Waits between `min` and `max`.
+    /// Creates a backoff with delays from `min` to `max`.
     pub fn new(min: Duration, max: Duration) -> Self {
         Self { min, max, failures: 0 }
     }
 
-    /// The wait after one more failure.
+    /// Records a failure and returns the delay before the next attempt.
     pub fn after_failure(&mut self, rng: &mut impl Rng) -> Duration {
         self.failures = self.failures.saturating_add(1);
         let ceiling = self.min.saturating_mul(1 << self.failures.min(16)).min(self.max);
         rng.random_range(self.min..=ceiling.max(self.min))
     }
 
-    /// Starts over after a success.
+    /// Resets the delay after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
@@ -78,19 +79,19 @@
 /// A failed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt {
-    /// How it failed.
+    /// Error of the attempt.
     pub kind: ErrorKind,
-    /// Attempts made so far.
+    /// Attempts made so far, including this one.
     pub attempts: u32,
-    /// Whether running the request twice does no harm.
+    /// Whether the request is safe to run more than once.
     pub is_idempotent: bool,
-    /// Whether the caller got part of an answer.
+    /// Whether part of a response was already sent to the caller.
     pub is_response_started: bool,
     /// Time until the caller's deadline.
     pub remaining: Duration,
 }
 
-/// Whether the attempt may be made again, leaving the budget aside.
+/// Whether the request may be retried, regardless of the budget.
 pub fn is_retry_allowed(failed: &FailedAttempt) -> bool {
     let is_safe = failed.kind.outcome() == Outcome::NotRun || failed.is_idempotent;
     failed.kind.rule().is_retryable
@@ -100,7 +101,7 @@
         && failed.remaining > MIN_BACKOFF
 }
 
-/// The jittered wait before the next attempt, or `None` if there is to be none.
+/// Delay before the next attempt, charged to the budget; `None` if the request isn't retried.
 pub fn backoff_before_retry(
     failed: &FailedAttempt,
     budget: &mut RetryBudget,
--- a/crates/teaseltrack/src/routing.rs
+++ b/crates/teaseltrack/src/routing.rs
@@ -1,9 +1,13 @@
-//! Choice of a target for a request.
+//! Load balancing of requests across targets.
 //!
-//! Two targets of the service are drawn at random from the entry's own availability zone and the one
-//! with less expected work is taken. One target of another zone is drawn as well, and taken when it
-//! is clearly better. Targets that fail are left out for a while that grows with each failure; new
-//! ones are taken in gradually. All of it rests on hints: the agent decides.
+//! Selection follows the power of two choices: of two random targets of the service in the entry's
+//! own availability zone, the one with the lower expected load is a candidate, and likewise of two
+//! in other zones. The remote candidate is chosen only if its expected response time is clearly
+//! shorter.
+//!
+//! Targets that fail repeatedly are ejected for a period that doubles with each further failure,
+//! and new targets receive traffic gradually (slow start). Load data may be stale; the agent makes
+//! the admission decision.
 
 use std::{
     collections::BTreeMap,
@@ -20,52 +24,52 @@
     pub struct TargetKey;
 }
 
-/// Weight of one sample in the smoothed latency.
+/// Weight of one sample in the exponentially smoothed latency.
 const LATENCY_GAIN: f64 = 0.2;
-/// Latency assumed before the first answer.
+/// Latency assumed before the first response, and lower bound of the expected latency.
 const ASSUMED_LATENCY_MS: f64 = 1.0;
-/// How much longer an answer from the own zone may take before another zone is taken.
-const SPILL_RATIO: f64 = 1.25;
-/// Share of a target's limit up to which a new request is expected not to wait.
-const FREE_SHARE: f64 = 0.75;
-/// Time over which a new target is taken in.
-const RAMP: Duration = Duration::from_secs(2);
-/// Least share of its traffic that a new target gets.
-const MIN_RAMP_SHARE: f64 = 0.1;
-/// Failures in a row before a target is left out.
+/// Ratio of local to remote expected response time above which a request leaves its zone.
+const SPILLOVER_RATIO: f64 = 1.25;
+/// Fraction of a target's concurrency limit up to which no queueing delay is expected.
+const UNQUEUED_UTILIZATION: f64 = 0.75;
+/// Duration of the slow start of a new target.
+const SLOW_START_PERIOD: Duration = Duration::from_secs(2);
+/// Lower bound of the slow-start factor, by which the cost of a new target is divided.
+const MIN_SLOW_START_FACTOR: f64 = 0.1;
+/// Consecutive failures before a target is ejected.
 const FAILURES_BEFORE_EJECTION: u32 = 3;
-/// First time for which a failing target is left out.
+/// Duration of the first ejection of a failing target.
 const MIN_EJECTION: Duration = Duration::from_millis(500);
-/// Longest time for which a failing target is left out.
+/// Maximum duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(10);
-/// Time after which the smoothed latency of a target without traffic counts half.
+/// Time after which the expected latency of a target without new samples is halved.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// A target as its agent announces it.
+/// Target announced by its agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetInfo {
-    /// Instance of the agent beside the target.
+    /// Instance that runs the target and its agent.
     pub instance: InstanceId,
     /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// Service that the target answers for.
+    /// Service that the target implements.
     pub service: ServiceName,
-    /// Requests that the target takes at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Life of the agent; what was learnt of an earlier one is forgotten.
+    /// Incarnation of the agent; statistics of an earlier incarnation are discarded.
     pub incarnation: Incarnation,
 }
 
-/// Load that an agent reports with its answers.
+/// Load that an agent reports with its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Running requests.
+    /// Number of running requests.
     pub in_flight: u32,
-    /// Waiting requests.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Requests that may run at once.
+    /// Current concurrency limit; 0 if none was reported.
     pub limit: u32,
-    /// Whether new work is refused.
+    /// Whether new requests are refused.
     pub is_draining: bool,
 }
 
@@ -82,7 +86,7 @@
     ejected_until: Option<Instant>,
 }
 
-/// Targets known to an entry.
+/// Targets known to an entry, with their load and health.
 #[derive(Debug, Default)]
 pub struct Router {
     targets: SlotMap<TargetKey, RoutedTarget>,
@@ -91,7 +95,7 @@
 }
 
 impl Router {
-    /// Takes in a target, or what changed of it.
+    /// Adds a target, or replaces it and discards its statistics if its announcement has changed.
     pub fn upsert(&mut self, info: TargetInfo, now: Instant) -> TargetKey {
         if let Some(key) = self.by_instance.get(&info.instance).copied() {
             if self.targets[key].info == info {
@@ -116,7 +120,7 @@
         key
     }
 
-    /// Drops the target of an instance.
+    /// Removes the target of an instance.
     pub fn remove(&mut self, instance: &str) {
         let Some(key) = self.by_instance.remove(instance) else { return };
         let Some(target) = self.targets.remove(key) else { return };
@@ -128,28 +132,29 @@
         }
     }
 
-    /// Drops all targets of instances for which `is_live` is false.
+    /// Removes the targets of all instances for which `is_live` returns false.
     pub fn retain(&mut self, is_live: impl Fn(&str) -> bool) {
-        let gone: Vec<InstanceId> = self
+        let departed: Vec<InstanceId> = self
             .targets
             .values()
             .map(|target| &target.info.instance)
             .filter(|instance| !is_live(instance))
             .cloned()
             .collect();
-        for instance in gone {
+        for instance in departed {
             self.remove(&instance);
         }
     }
 
-    /// Leaves a target out while its agent is suspected of being gone, if others are left.
+    /// Sets whether the agent of a target is suspected to have failed. Suspected, draining and
+    /// ejected targets are chosen only if no other target remains.
     pub fn set_suspected(&mut self, key: TargetKey, is_suspected: bool) {
         if let Some(target) = self.targets.get_mut(key) {
             target.is_suspected = is_suspected;
         }
     }
 
-    /// Time that a target is expected to take for one request.
+    /// Expected latency of one request to a target.
     pub fn expected_latency(&self, key: TargetKey, now: Instant) -> Duration {
         let latency_ms = self
             .targets
@@ -163,12 +168,12 @@
         self.by_service.get(service).map_or(0, Vec::len)
     }
 
-    /// What is known of a target.
+    /// Announcement of a target.
     pub fn info(&self, key: TargetKey) -> Option<&TargetInfo> {
         self.targets.get(key).map(|target| &target.info)
     }
 
-    /// Chooses a target of the service, none of `tried` if another is left.
+    /// Chooses a target of the service other than those in `tried`.
     pub fn choose(
         &self,
         service: &str,
@@ -177,33 +182,35 @@
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<TargetKey> {
-        let all = self.by_service.get(service)?;
+        let known = self.by_service.get(service)?;
         let untried: Vec<TargetKey> =
-            all.iter().copied().filter(|key| !tried.contains(key)).collect();
-        let usable: Vec<TargetKey> =
-            untried.iter().copied().filter(|key| self.targets[*key].is_usable(now)).collect();
-        let candidates = if usable.is_empty() { &untried } else { &usable };
-        let (near, far): (Vec<_>, Vec<_>) =
+            known.iter().copied().filter(|key| !tried.contains(key)).collect();
+        let healthy: Vec<TargetKey> =
+            untried.iter().copied().filter(|key| self.targets[*key].is_healthy(now)).collect();
+        let candidates = if healthy.is_empty() { &untried } else { &healthy };
+        let (local, remote): (Vec<_>, Vec<_>) =
             candidates.iter().partition(|key| self.targets[**key].info.zone == zone);
-        let near_best = self.better_of_two(&near, now, rng);
-        let far_best = self.better_of_two(&far, now, rng);
-        let (Some(near_key), Some(far_key)) = (near_best, far_best) else {
-            return near_best.or(far_best);
+        let local_candidate = self.less_loaded_of_two(&local, now, rng);
+        let remote_candidate = self.less_loaded_of_two(&remote, now, rng);
+        let (Some(local_key), Some(remote_key)) = (local_candidate, remote_candidate) else {
+            return local_candidate.or(remote_candidate);
         };
-        let (near_ms, far_ms) =
-            (self.targets[near_key].answer_ms(now), self.targets[far_key].answer_ms(now));
-        let is_spilling = near_ms > far_ms * SPILL_RATIO;
-        Some(if is_spilling { far_key } else { near_key })
+        let (local_ms, remote_ms) = (
+            self.targets[local_key].expected_response_ms(now),
+            self.targets[remote_key].expected_response_ms(now),
+        );
+        let is_spillover = local_ms > remote_ms * SPILLOVER_RATIO;
+        Some(if is_spillover { remote_key } else { local_key })
     }
 
-    /// Counts an attempt that is sent to the target.
+    /// Records that an attempt is sent to the target.
     pub fn begin_attempt(&mut self, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
             target.in_flight += 1;
         }
     }
 
-    /// Counts the end of an attempt that the target answered.
+    /// Records the end of an attempt with a response, which ends an ejection.
     pub fn record_response(
         &mut self,
         key: TargetKey,
@@ -218,14 +225,14 @@
         target.record_latency(latency, now);
     }
 
-    /// Counts the end of an attempt that its agent refused.
+    /// Records the end of an attempt without a latency sample: it was refused or abandoned.
     pub fn end_unmeasured_attempt(&mut self, key: TargetKey, load: Option<LoadReport>) {
         if let Some(target) = self.targets.get_mut(key) {
             target.end_attempt(load);
         }
     }
 
-    /// Counts the end of an attempt that got no answer.
+    /// Records the end of an attempt without a response, and ejects a target that keeps failing.
     pub fn record_failure(&mut self, key: TargetKey, elapsed: Duration, now: Instant) {
         let Some(target) = self.targets.get_mut(key) else { return };
         target.end_attempt(None);
@@ -238,7 +245,7 @@
         }
     }
 
-    fn better_of_two(
+    fn less_loaded_of_two(
         &self,
         candidates: &[TargetKey],
         now: Instant,
@@ -259,37 +266,42 @@
 }
 
 impl RoutedTarget {
-    fn is_usable(&self, now: Instant) -> bool {
+    fn is_healthy(&self, now: Instant) -> bool {
         !self.load.is_draining
             && !self.is_suspected
             && self.ejected_until.is_none_or(|until| until <= now)
     }
 
-    /// Expected work ahead of a new request, in milliseconds, raised while the target is new.
+    /// Expected time to serve the outstanding requests and a new one, in milliseconds, increased
+    /// during the slow start.
     fn cost(&self, now: Instant) -> f64 {
-        let ramp_share =
-            now.saturating_duration_since(self.added_at).as_secs_f64() / RAMP.as_secs_f64();
-        let ahead = f64::from(self.ahead() + 1);
-        ahead * self.expected_latency_ms(now) / ramp_share.clamp(MIN_RAMP_SHARE, 1.0)
+        let slow_start_factor = now.saturating_duration_since(self.added_at).as_secs_f64()
+            / SLOW_START_PERIOD.as_secs_f64();
+        let requests = f64::from(self.outstanding() + 1);
+        requests * self.expected_latency_ms(now)
+            / slow_start_factor.clamp(MIN_SLOW_START_FACTOR, 1.0)
     }
 
-    /// Expected time to an answer, in milliseconds: longer than the latency only when slots run out.
-    fn answer_ms(&self, now: Instant) -> f64 {
+    /// Expected response time in milliseconds: the latency, increased in proportion to the load
+    /// when the target is close to its concurrency limit.
+    fn expected_response_ms(&self, now: Instant) -> f64 {
         let limit = if self.load.limit > 0 { self.load.limit } else { self.info.slots.max(1) };
-        let busy = f64::from(self.ahead() + 1) / (f64::from(limit) * FREE_SHARE);
-        self.expected_latency_ms(now) * busy.max(1.0)
+        let relative_load =
+            f64::from(self.outstanding() + 1) / (f64::from(limit) * UNQUEUED_UTILIZATION);
+        self.expected_latency_ms(now) * relative_load.max(1.0)
     }
 
-    /// Requests ahead of a new one: this entry's own, and half of what others had at the last report.
-    fn ahead(&self) -> u32 {
+    /// Estimated outstanding requests: this entry's own, and half of those of other entries as of
+    /// the last report.
+    fn outstanding(&self) -> u32 {
         let others = (self.load.in_flight + self.load.queued).saturating_sub(self.in_flight);
         self.in_flight + others / 2
     }
 
     fn expected_latency_ms(&self, now: Instant) -> f64 {
         let Some(latency_ms) = self.latency_ms else { return ASSUMED_LATENCY_MS };
-        let idle = now.saturating_duration_since(self.measured_at).as_secs_f64();
-        let half_lives = idle / LATENCY_HALF_LIFE.as_secs_f64();
+        let idle_s = now.saturating_duration_since(self.measured_at).as_secs_f64();
+        let half_lives = idle_s / LATENCY_HALF_LIFE.as_secs_f64();
         (latency_ms * 0.5_f64.powf(half_lives)).max(ASSUMED_LATENCY_MS)
     }
 
--- a/crates/teaseltrack/src/throttle.rs
+++ b/crates/teaseltrack/src/throttle.rs
@@ -1,21 +1,22 @@
-//! The local reflex that slows batch work down when a service's tail drifts.
+//! Throttling of batch work on an instance whose service latency rises.
 //!
-//! The agent compares the service's smoothed latency with its remembered minimum. Above a ratio the
-//! share of batch work is halved, below it the share recovers step by step. It acts within one period,
-//! long before placement learns anything.
+//! The agent compares the smoothed latency of the service with its baseline. While the ratio is
+//! above a threshold the speed of batch work is halved each period; otherwise it recovers in fixed
+//! steps. Throttling is local to the agent and takes effect within one period, earlier than
+//! placement can react.
 
-/// Latency over its minimum above which batch work slows down.
-const DRIFT_RATIO: f64 = 1.5;
-/// Factor by which the share shrinks.
+/// Ratio of latency to baseline above which batch work is slowed down.
+const MAX_LATENCY_RATIO: f64 = 1.5;
+/// Factor applied to the share while the latency is too high.
 const DECREASE_RATIO: f64 = 0.5;
-/// Step by which the share recovers.
+/// Amount added to the share while the latency is acceptable.
 const INCREASE_STEP: f64 = 0.1;
-/// Least share, so that batch work never starves altogether.
+/// Minimum share, which keeps batch work from starving.
 const MIN_SHARE: f64 = 0.1;
-/// Least change that is worth a message to the worker.
-const MIN_CHANGE: f64 = 0.01;
+/// Smallest change of the share that is sent to the worker.
+const MIN_SHARE_CHANGE: f64 = 0.01;
 
-/// Share of its full speed at which batch work runs.
+/// Fraction of full speed at which batch work runs.
 #[derive(Clone, Debug)]
 pub struct Throttle {
     share: f64,
@@ -28,19 +29,19 @@
 }
 
 impl Throttle {
-    /// The present share, 0 to 1.
+    /// Current share, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// Takes in the latency over its minimum; the new share, if it changed.
+    /// Records the ratio of latency to baseline; returns the share if it changed.
     pub fn record(&mut self, latency_ratio: f64) -> Option<f64> {
-        let next = if latency_ratio > DRIFT_RATIO {
+        let next = if latency_ratio > MAX_LATENCY_RATIO {
             (self.share * DECREASE_RATIO).max(MIN_SHARE)
         } else {
             (self.share + INCREASE_STEP).min(1.0)
         };
-        if (next - self.share).abs() < MIN_CHANGE {
+        if (next - self.share).abs() < MIN_SHARE_CHANGE {
             return None;
         }
         self.share = next;
--- a/crates/teaseltrack/tests/admission.rs
+++ b/crates/teaseltrack/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: slots never exceeded, shares kept, every queued request ends once.
+//! Tests of admission control.
 
 mod util;
 
@@ -22,10 +22,10 @@
     RequestMeta { class, team: team.to_owned(), deadline }
 }
 
-fn queue(admission: &mut Admission, now: Instant, class: Class, team: &str) -> TicketKey {
+fn enqueue(admission: &mut Admission, now: Instant, class: Class, team: &str) -> TicketKey {
     match admission.offer(now, meta(class, team, now + Duration::from_secs(60))) {
         AdmissionDecision::Queued(ticket) => ticket,
-        AdmissionDecision::Refused(refusal) => panic!("refused: {refusal:?}"),
+        AdmissionDecision::Refused(refusal) => panic!("unexpectedly refused: {refusal:?}"),
     }
 }
 
@@ -39,7 +39,7 @@
     let now = Instant::now();
     let mut admission = Admission::new(LIMITS);
     for _ in 0..queued {
-        queue(&mut admission, now, Class::Normal, "a");
+        enqueue(&mut admission, now, Class::Normal, "a");
     }
     if is_draining {
         admission.drain();
@@ -60,52 +60,52 @@
     let mut classes = Vec::new();
     for class in CLASSES {
         for _ in 0..900 {
-            classes.push((queue(&mut admission, now, class, "a"), class));
+            classes.push((enqueue(&mut admission, now, class, "a"), class));
         }
     }
-    let mut starts = [0_u32; 3];
+    let mut dispatch_counts = [0_u32; 3];
     for _ in 0..900 {
-        let start = admission.dispatch().unwrap();
-        let (_, class) = classes.iter().find(|(ticket, _)| *ticket == start.ticket).unwrap();
-        starts[*class as usize] += 1;
-        admission.release(start.permit, None);
+        let dispatched = admission.dispatch().unwrap();
+        let (_, class) = classes.iter().find(|(ticket, _)| *ticket == dispatched.ticket).unwrap();
+        dispatch_counts[*class as usize] += 1;
+        admission.release(dispatched.permit, None);
     }
-    assert_eq!(starts, [400, 300, 200]);
+    assert_eq!(dispatch_counts, [400, 300, 200]);
 }
 
 #[test]
-fn dispatch_newcomer_after_flood() {
+fn dispatch_newly_backlogged_class_after_flood() {
     let now = Instant::now();
     let mut admission = Admission::new(AdmissionLimits { slots: 1, queue_per_class: 100 });
     for _ in 0..100 {
-        queue(&mut admission, now, Class::Urgent, "flood");
+        enqueue(&mut admission, now, Class::Urgent, "flood");
     }
     for _ in 0..50 {
-        let start = admission.dispatch().unwrap();
-        admission.release(start.permit, None);
+        let dispatched = admission.dispatch().unwrap();
+        admission.release(dispatched.permit, None);
     }
-    let newcomer = queue(&mut admission, now, Class::Background, "other");
+    let background = enqueue(&mut admission, now, Class::Background, "other");
     let next_two: Vec<TicketKey> = (0..2)
         .map(|_| {
-            let start = admission.dispatch().unwrap();
-            admission.release(start.permit, None);
-            start.ticket
+            let dispatched = admission.dispatch().unwrap();
+            admission.release(dispatched.permit, None);
+            dispatched.ticket
         })
         .collect();
-    assert!(next_two.contains(&newcomer));
+    assert!(next_two.contains(&background));
 }
 
 #[test]
-fn dispatch_takes_turns_between_teams() {
+fn dispatch_round_robin_between_teams() {
     let now = Instant::now();
     let mut admission = Admission::new(AdmissionLimits { slots: 1, queue_per_class: 100 });
     for _ in 0..20 {
-        queue(&mut admission, now, Class::Normal, "loud");
+        enqueue(&mut admission, now, Class::Normal, "heavy");
     }
-    let quiet = queue(&mut admission, now, Class::Normal, "quiet");
+    let light = enqueue(&mut admission, now, Class::Normal, "light");
     let first = admission.dispatch().unwrap();
     admission.release(first.permit, None);
-    assert_eq!(admission.dispatch().unwrap().ticket, quiet);
+    assert_eq!(admission.dispatch().unwrap().ticket, light);
 }
 
 #[derive(Clone, Debug)]
@@ -132,6 +132,7 @@
 proptest! {
     #![proptest_config(util::config(300))]
 
+    /// Slots aren't exceeded, and each queued request is dispatched, expired or cancelled once.
     #[test]
     fn admission_random_steps(steps in prop::collection::vec(step(), 1..400)) {
         let mut now = Instant::now();
@@ -154,12 +155,12 @@
                     while let Some(ticket) = admission.expire(now) {
                         prop_assert!(waiting.remove(&ticket), "expired twice");
                     }
-                    if let Some(start) = admission.dispatch() {
-                        prop_assert!(waiting.remove(&start.ticket), "started twice");
-                        running.push(start.permit);
+                    if let Some(dispatched) = admission.dispatch() {
+                        prop_assert!(waiting.remove(&dispatched.ticket), "dispatched twice");
+                        running.push(dispatched.permit);
                     } else {
-                        let is_idle = waiting.is_empty();
-                        prop_assert!(is_idle || admission.in_flight() >= admission.limit());
+                        let is_queue_empty = waiting.is_empty();
+                        prop_assert!(is_queue_empty || admission.in_flight() >= admission.limit());
                     }
                 }
                 Step::Release { index, latency_ms } => {
--- a/crates/teaseltrack/tests/retries.rs
+++ b/crates/teaseltrack/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries, quotas, and the table from error kind to answer.
+//! Tests of retries, quotas, and response rules.
 
 mod util;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn answer_rules_in_order_of_kinds() {
+fn response_rules_indexed_by_kind() {
     for (index, rule) in RESPONSE_RULES.iter().enumerate() {
         assert_eq!(rule.kind as usize, index);
         assert_eq!(rule.kind.rule(), rule);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn answer_rules_unknown_never_retried_unless_idempotent() {
+fn response_rules_unknown_not_retried_unless_idempotent() {
     for rule in &RESPONSE_RULES {
         let is_allowed = is_retry_allowed(&failed(rule.kind, false));
         assert!(!is_allowed || rule.outcome == Outcome::NotRun, "{}", rule.name);
@@ -49,10 +49,10 @@
 #[parameterized(
     refused_by_agent = { ErrorKind::QueueFull, false, true },
     unreachable = { ErrorKind::Unreachable, false, true },
-    lost_answer = { ErrorKind::AnswerLost, false, false },
-    lost_answer_idempotent = { ErrorKind::AnswerLost, true, true },
+    lost_response = { ErrorKind::AnswerLost, false, false },
+    lost_response_idempotent = { ErrorKind::AnswerLost, true, true },
     truncated_idempotent = { ErrorKind::AnswerTruncated, true, true },
-    bad_input = { ErrorKind::InvalidInput, true, false },
+    invalid_input = { ErrorKind::InvalidInput, true, false },
     quota = { ErrorKind::QuotaExceeded, true, false },
     deadline_passed = { ErrorKind::DeadlineExceeded, true, false },
 )]
@@ -61,10 +61,10 @@
 }
 
 #[test]
-fn is_retry_allowed_not_after_answer_began() {
-    let begun =
+fn is_retry_allowed_not_after_response_started() {
+    let started =
         FailedAttempt { is_response_started: true, ..failed(ErrorKind::AnswerTruncated, true) };
-    assert!(!is_retry_allowed(&begun));
+    assert!(!is_retry_allowed(&started));
 }
 
 #[test]
@@ -85,16 +85,16 @@
 }
 
 #[test]
-fn quotas_share_between_entries() {
+fn quotas_divided_between_entries() {
     let start = Instant::now();
     let quota = Quota { rate_per_s: 100.0, burst: 10.0 };
     let mut quotas = Quotas::default();
-    let mut taken = 0;
+    let mut admitted = 0;
     for ms in 0..10_000 {
         let now = start + Duration::from_millis(ms);
-        taken += u32::from(quotas.take("a", quota, 2, now).is_ok());
+        admitted += u32::from(quotas.take("a", quota, 2, now).is_ok());
     }
-    assert!((495..=510).contains(&taken), "{taken}");
+    assert!((495..=510).contains(&admitted), "{admitted}");
 }
 
 proptest! {
--- a/crates/teaseltrack/tests/routing.rs
+++ b/crates/teaseltrack/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing: who is chosen, who is left out, and for how long.
+//! Tests of target selection and ejection.
 
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
     rng: ChaCha8Rng,
 }
 
-/// Targets in the given zones, long enough there to get their full share.
+/// A router with one target per given zone, all past their slow start.
 fn fixture(zones: &[&str]) -> Fixture {
     let start = Instant::now();
     let mut router = Router::default();
@@ -45,18 +45,18 @@
         self.router.choose(SERVICE, ZONE, tried, self.now, &mut self.rng)
     }
 
-    /// How often each target is chosen when nothing else happens.
-    fn shares(&mut self) -> Vec<u32> {
-        let mut shares = vec![0; self.keys.len()];
+    /// Number of times that each target is chosen in `DRAWS` selections.
+    fn selection_counts(&mut self) -> Vec<u32> {
+        let mut counts = vec![0; self.keys.len()];
         for _ in 0..DRAWS {
             let chosen = self.choose(&[]).unwrap();
             let index = self.keys.iter().position(|key| *key == chosen).unwrap();
-            shares[index] += 1;
+            counts[index] += 1;
         }
-        shares
+        counts
     }
 
-    fn answer(&mut self, index: usize, latency_ms: u64) {
+    fn respond(&mut self, index: usize, latency_ms: u64) {
         self.router.begin_attempt(self.keys[index]);
         let latency = Duration::from_millis(latency_ms);
         self.router.record_response(self.keys[index], latency, None, self.now);
@@ -75,27 +75,27 @@
 }
 
 #[test]
-fn choose_own_zone() {
+fn choose_local_zone() {
     let mut fixture = fixture(&[ZONE, ZONE, "martin-b"]);
-    (0..3).for_each(|index| fixture.answer(index, 5));
-    assert_eq!(fixture.shares()[2], 0);
+    (0..3).for_each(|index| fixture.respond(index, 5));
+    assert_eq!(fixture.selection_counts()[2], 0);
 }
 
 #[test]
-fn choose_spills_when_own_zone_is_full() {
+fn choose_spills_over_when_local_zone_full() {
     let mut fixture = fixture(&[ZONE, "martin-b"]);
-    (0..2).for_each(|index| fixture.answer(index, 5));
+    (0..2).for_each(|index| fixture.respond(index, 5));
     (0..8).for_each(|_| fixture.router.begin_attempt(fixture.keys[0]));
-    assert_eq!(fixture.shares(), [0, DRAWS]);
+    assert_eq!(fixture.selection_counts(), [0, DRAWS]);
 }
 
 #[test]
 fn choose_avoids_slow_target() {
     let mut fixture = fixture(&[ZONE, ZONE, ZONE]);
-    fixture.answer(0, 100);
-    fixture.answer(1, 5);
-    fixture.answer(2, 5);
-    assert_eq!(fixture.shares()[0], 0);
+    fixture.respond(0, 100);
+    fixture.respond(1, 5);
+    fixture.respond(2, 5);
+    assert_eq!(fixture.selection_counts()[0], 0);
 }
 
 #[test]
@@ -110,55 +110,55 @@
 }
 
 #[test]
-fn choose_leaves_out_failing_target_for_a_while() {
+fn choose_excludes_failing_target_until_ejection_ends() {
     let mut fixture = fixture(&[ZONE, ZONE]);
     (0..3).for_each(|_| fixture.fail(0));
-    assert_eq!(fixture.shares()[0], 0);
+    assert_eq!(fixture.selection_counts()[0], 0);
     fixture.now += Duration::from_secs(60);
-    assert!(fixture.shares()[0] > 0);
+    assert!(fixture.selection_counts()[0] > 0);
 }
 
 #[test]
-fn choose_failing_target_when_no_other_is_left() {
+fn choose_failing_target_when_no_other_remains() {
     let mut fixture = fixture(&[ZONE]);
     (0..3).for_each(|_| fixture.fail(0));
     assert_eq!(fixture.choose(&[]), Some(fixture.keys[0]));
 }
 
 #[test]
-fn choose_leaves_out_suspected_and_draining() {
+fn choose_excludes_suspected_and_draining() {
     let mut fixture = fixture(&[ZONE, ZONE, ZONE]);
     fixture.router.set_suspected(fixture.keys[0], true);
     let draining = LoadReport { is_draining: true, ..LoadReport::default() };
     fixture.router.begin_attempt(fixture.keys[1]);
     fixture.router.end_unmeasured_attempt(fixture.keys[1], Some(draining));
-    assert_eq!(fixture.shares(), [0, 0, DRAWS]);
+    assert_eq!(fixture.selection_counts(), [0, 0, DRAWS]);
 }
 
 #[test]
-fn upsert_new_incarnation_forgets_draining() {
+fn upsert_new_incarnation_resets_draining() {
     let mut fixture = fixture(&[ZONE, "martin-b"]);
     let draining = LoadReport { is_draining: true, ..LoadReport::default() };
     fixture.router.begin_attempt(fixture.keys[0]);
     fixture.router.end_unmeasured_attempt(fixture.keys[0], Some(draining));
-    assert_eq!(fixture.shares()[0], 0);
+    assert_eq!(fixture.selection_counts()[0], 0);
     fixture.keys[0] = fixture.router.upsert(info(0, ZONE, 2), fixture.now);
     fixture.now += Duration::from_secs(60);
-    assert_eq!(fixture.shares()[1], 0);
+    assert_eq!(fixture.selection_counts()[1], 0);
 }
 
 #[test]
-fn choose_takes_new_target_in_gradually() {
+fn choose_slow_start_of_new_target() {
     let mut fixture = fixture(&[ZONE, ZONE]);
-    (0..2).for_each(|index| fixture.answer(index, 5));
+    (0..2).for_each(|index| fixture.respond(index, 5));
     fixture.keys.push(fixture.router.upsert(info(2, ZONE, 1), fixture.now));
-    assert_eq!(fixture.shares()[2], 0);
+    assert_eq!(fixture.selection_counts()[2], 0);
     fixture.now += Duration::from_secs(10);
-    assert!(fixture.shares()[2] > 0);
+    assert!(fixture.selection_counts()[2] > 0);
 }
 
 #[test]
-fn retain_drops_gone_instances() {
+fn retain_removes_departed_instances() {
     let mut fixture = fixture(&[ZONE, ZONE]);
     fixture.router.retain(|instance| instance == "agent-1");
     assert_eq!(fixture.router.target_count(SERVICE), 1);
