--- a/crates/teaseltrack-cell/src/agent.rs
+++ b/crates/teaseltrack-cell/src/agent.rs
@@ -13,9 +13,9 @@
 use teaseltrack::{
     cell::{
         pacing::{PaceChange, Pacer},
-        progress::WorkerLife,
+        progress::WorkerIncarnation,
         protocol::{
-            EndedTask, Order, RefusedStart, Report, ReportAnswer, RunningTask, SessionToken,
+            EndedTask, Order, RefusedStart, Report, ReportResponse, RunningTask, SessionToken,
             StartOrder, TaskName, WorkerListing, WorkerStatus,
         },
     },
@@ -76,13 +76,13 @@
     /// A report came back.
     Reported {
         /// Life of the worker that it was about.
-        life: WorkerLife,
+        life: WorkerIncarnation,
         /// Whether it waited for news.
         is_poll: bool,
         /// Refused starts that it told of.
         refused_count: usize,
         /// The answer, if one came in time.
-        answer: Option<Box<ReportAnswer>>,
+        answer: Option<Box<ReportResponse>>,
     },
     /// A start came back.
     Started {
@@ -140,7 +140,7 @@
     events: mpsc::Sender<AgentEvent>,
     permits: Arc<Semaphore>,
     status: Option<WorkerStatus>,
-    life: WorkerLife,
+    life: WorkerIncarnation,
     clock_ms: u64,
     epoch: u64,
     session: SessionToken,
@@ -199,7 +199,7 @@
             events,
             permits: Arc::new(Semaphore::new(MAX_WORKER_CALLS)),
             status: None,
-            life: WorkerLife::new(),
+            life: WorkerIncarnation::new(),
             clock_ms: 0,
             epoch: 0,
             session: 0,
@@ -288,11 +288,11 @@
 
     fn take_announcement(&mut self, announcement: Announcement) {
         let Announcement { status, clock_ms } = announcement;
-        let known_born = self.status.as_ref().map_or(0, |known| known.born_unix_ms);
-        if status.born_unix_ms < known_born {
+        let known_born = self.status.as_ref().map_or(0, |known| known.started_unix_ms);
+        if status.started_unix_ms < known_born {
             return;
         }
-        let life = status.life();
+        let life = status.incarnation();
         if life != self.life {
             info!(self.context.logger, "worker announced itself"; "worker" => &life,
                 "earlier_life" => &self.life);
@@ -311,7 +311,7 @@
         }
     }
 
-    fn begin_life(&mut self, life: WorkerLife) {
+    fn begin_life(&mut self, life: WorkerIncarnation) {
         self.life = life;
         self.clock_ms = 0;
         self.session = 0;
@@ -377,7 +377,7 @@
                 return;
             }
         };
-        let born = self.status.as_ref().map(|status| status.born_unix_ms);
+        let born = self.status.as_ref().map(|status| status.started_unix_ms);
         if answer.born_unix_ms.is_some() && answer.born_unix_ms != born {
             self.take_rebirth(answer.born_unix_ms);
             return;
@@ -399,11 +399,11 @@
         let (Some(status), Some(born_unix_ms)) = (self.status.as_mut(), born_unix_ms) else {
             return;
         };
-        if born_unix_ms < status.born_unix_ms {
+        if born_unix_ms < status.started_unix_ms {
             return;
         }
-        status.born_unix_ms = born_unix_ms;
-        let life = status.life();
+        status.started_unix_ms = born_unix_ms;
+        let life = status.incarnation();
         info!(self.context.logger, "worker answered from a new life"; "worker" => &life);
         self.begin_life(life);
         self.needs_report = true;
@@ -433,10 +433,10 @@
         if self.pacer.is_paused() != was_paused {
             info!(self.context.logger, "best-effort tasks paused or resumed";
                 "worker" => &self.life, "is_paused" => self.pacer.is_paused(),
-                "tail_to_target" => self.pacer.pressure(), "tasks" => changes.len());
+                "tail_to_target" => self.pacer.tail_to_target(), "tasks" => changes.len());
         }
         let sharing = &self.context.metrics;
-        sharing.gauge("tail_to_target_percent", (100.0 * self.pacer.pressure()) as u64);
+        sharing.gauge("tail_to_target_percent", (100.0 * self.pacer.tail_to_target()) as u64);
         sharing.gauge("runs", self.running.len() as u64);
         for change in changes {
             self.context.metrics.count("paces_set");
@@ -455,7 +455,7 @@
             self.full_report_at = now + FULL_REPORT_INTERVAL;
         }
         let disturbances = (listing.is_some() && !self.has_told_disturbances)
-            .then(|| self.pacer.disturbances().clone());
+            .then(|| self.pacer.estimates().clone());
         self.has_told_disturbances |= listing.is_some();
         Report {
             agent: self.context.instance.clone(),
@@ -467,10 +467,10 @@
             is_worker_reachable: self.is_reachable,
             listing,
             refused: if is_full { self.refused.clone() } else { Vec::new() },
-            taken_order: self.taken_order,
+            accepted_order: self.taken_order,
             forgot_until: self.forget_until,
-            disturbances_version: self.pacer.disturbances().version,
-            disturbances,
+            interference_version: self.pacer.estimates().version,
+            interference: disturbances,
             wait_ms: if is_full { 0 } else { REPORT_WAIT.as_millis() as u64 },
         }
     }
@@ -490,7 +490,7 @@
         &mut self,
         is_poll: bool,
         refused_count: usize,
-        answer: Option<Box<ReportAnswer>>,
+        answer: Option<Box<ReportResponse>>,
     ) {
         if is_poll {
             self.is_polling = false;
@@ -517,10 +517,10 @@
         if answer.session != self.session || answer.session == 0 {
             return;
         }
-        if let Some(known) = answer.disturbances {
+        if let Some(known) = answer.interference {
             debug!(self.context.logger, "disturbances learned"; "version" => known.version,
                 "pairs" => known.pairs.len());
-            self.pacer.learn_disturbances(known);
+            self.pacer.set_estimates(known);
         }
         self.lease_until_ms = self.lease_until_ms.max(answer.lease_until_ms);
         if answer.forget_until > self.forget_until {
@@ -544,7 +544,7 @@
                     "task" => %task, "attempt" => attempt);
                 self.send_stop(task, attempt);
             }
-            Order::Traits(traits) => self.pacer.learn(traits),
+            Order::Traits(traits) => self.pacer.set_traits(traits),
         }
     }
 
--- a/crates/teaseltrack-cell/src/calls.rs
+++ b/crates/teaseltrack-cell/src/calls.rs
@@ -13,7 +13,7 @@
 };
 use teaseltrack::cell::{
     job::{JobId, QueueName},
-    protocol::{Report, ReportAnswer},
+    protocol::{Report, ReportResponse},
 };
 use teaseltrack_wire::cell::{CellControl, CellControlClient, JobLookup, MAX_MESSAGE_BYTES};
 use tokio::{
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub enum InboundCall {
     /// An agent's report.
-    Report(Box<Report>, oneshot::Sender<ReportAnswer>),
+    Report(Box<Report>, oneshot::Sender<ReportResponse>),
     /// A question for a job's state.
     JobState(JobId, oneshot::Sender<JobLookup>),
     /// A question for a queue's pending jobs.
@@ -71,12 +71,12 @@
 }
 
 impl CellControl for CallServer {
-    async fn report(self, _: context::Context, report: Report) -> ReportAnswer {
+    async fn report(self, _: context::Context, report: Report) -> ReportResponse {
         let answer = self.ask(|reply| InboundCall::Report(Box::new(report), reply)).await;
         answer.unwrap_or_else(|| {
             let owner_address =
                 self.known_owner.borrow().address.map(|address| address.to_string());
-            ReportAnswer { owner_address, ..ReportAnswer::default() }
+            ReportResponse { owner_address, ..ReportResponse::default() }
         })
     }
 
@@ -125,7 +125,7 @@
 
 impl CellClient {
     /// Reports to the process at `address`; `None` without an answer in time.
-    pub async fn report(&self, address: SocketAddr, report: Report) -> Option<ReportAnswer> {
+    pub async fn report(&self, address: SocketAddr, report: Report) -> Option<ReportResponse> {
         let wait = CALL_TIMEOUT + Duration::from_millis(report.wait_ms);
         let client = self.client(address).await?;
         let answer = timeout(wait, client.report(deadline(wait), report)).await;
--- a/crates/teaseltrack-cell/src/candidate.rs
+++ b/crates/teaseltrack-cell/src/candidate.rs
@@ -9,7 +9,7 @@
 
 use slog::{info, warn};
 use teaseltrack::{
-    cell::ownership::{OwnerRecord, OwnershipWatch, candidate_delay},
+    cell::ownership::{OwnerRecord, OwnershipMonitor, candidate_delay},
     ids::InstanceId,
 };
 use teaseltrack_platform::store::{CommitAnswer, Condition, Row, StoreError, Transaction, Write};
@@ -53,7 +53,7 @@
 impl Candidate {
     /// Watches the owner, and runs the cell whenever it is taken, until `closing` is cancelled.
     pub async fn run(self, contact: OwnerContact, closing: CancellationToken) {
-        let mut watch = OwnershipWatch::default();
+        let mut watch = OwnershipMonitor::default();
         loop {
             tokio::select! {
                 () = self.wait_for_suspicion(&contact) => {}
@@ -89,7 +89,7 @@
         }
     }
 
-    async fn look(&self, watch: &mut OwnershipWatch) -> Result<Option<Taken>, StoreError> {
+    async fn look(&self, watch: &mut OwnershipMonitor) -> Result<Option<Taken>, StoreError> {
         let row = self.context.store.read(OWNER_KEY).await?;
         let now = self.context.clock.now();
         let Some(row) = row else { return self.take(None, now).await };
@@ -113,7 +113,7 @@
             return self.take(Some((record, row)), now + earlier_grants).await;
         }
         let delay = candidate_delay(&self.instance, row.version, CANDIDATE_STEP, CANDIDATE_STEPS);
-        let silence = self.context.ownership.silence + delay;
+        let silence = self.context.ownership.takeover_timeout + delay;
         let Some(since) = watch.unchanged_since(silence, now) else { return Ok(None) };
         let grants_end = since + self.context.ownership.grant_period;
         self.take(Some((record, row)), grants_end).await
--- a/crates/teaseltrack-cell/src/constants.rs
+++ b/crates/teaseltrack-cell/src/constants.rs
@@ -59,20 +59,20 @@
 
 /// Bounds of ownership: an owner's commits may each take several renewals on a slow store.
 pub const OWNERSHIP: OwnershipSettings = OwnershipSettings {
-    silence: Duration::from_millis(1_500),
+    takeover_timeout: Duration::from_millis(1_500),
     grant_period: Duration::from_millis(4_000),
 };
 
 /// Answers to tails. A pause and the time before it end well within the platform's bound on a tail
 /// over its target beside best-effort tasks.
 pub const PACING: PacingSettings = PacingSettings {
-    aim: 0.85,
-    newest_weight: 0.4,
-    least_change: 8,
-    least_percent: 6,
-    assumed_share: 0.08,
+    setpoint: 0.85,
+    smoothing_factor: 0.4,
+    min_change_percent: 8,
+    min_percent: 6,
+    default_share: 0.08,
     pause_after: Duration::from_millis(2_000),
-    pause: Duration::from_millis(1_200),
+    pause_duration: Duration::from_millis(1_200),
 };
 
 /// Shares of a worker; a serving task uses about half of what it declares. A job may have nothing
@@ -108,10 +108,10 @@
 /// averaged over.
 const INTERFERENCE: InterferenceSettings = InterferenceSettings {
     half_life_s: 20.0,
-    longest_step: Duration::from_millis(1_500),
-    ridge: 0.5,
-    least_evidence: 10.0,
-    correlation: 1.5,
+    max_sample_interval: Duration::from_millis(1_500),
+    ridge_penalty: 0.5,
+    min_evidence: 10.0,
+    variance_inflation: 1.5,
 };
 
 /// An owner's settings under the platform's bound on leases.
--- a/crates/teaseltrack-cell/src/owner.rs
+++ b/crates/teaseltrack-cell/src/owner.rs
@@ -16,7 +16,7 @@
         Cell, CellEvent, CellSettings,
         job::QueueConfiguration,
         ownership::OwnershipSettings,
-        protocol::{Report, ReportAnswer},
+        protocol::{Report, ReportResponse},
     },
     clock::{SharedClock, unix_ms},
     ids::InstanceId,
@@ -78,7 +78,7 @@
 /// A report that waits for news.
 #[derive(Debug)]
 struct ParkedReport {
-    reply: oneshot::Sender<ReportAnswer>,
+    reply: oneshot::Sender<ReportResponse>,
     answer_by: Instant,
     taken_order: u64,
     forgot_until: u64,
@@ -252,12 +252,12 @@
         }
     }
 
-    fn take_report(&mut self, report: Report, reply: oneshot::Sender<ReportAnswer>) {
+    fn take_report(&mut self, report: Report, reply: oneshot::Sender<ReportResponse>) {
         let now = self.context.clock.now();
         let may_grant = now < self.renewed_at + self.context.ownership.grant_period;
         let wait = Duration::from_millis(report.wait_ms);
         let (agent, session) = (report.agent.clone(), report.session);
-        let (taken_order, forgot_until) = (report.taken_order, report.forgot_until);
+        let (taken_order, forgot_until) = (report.accepted_order, report.forgot_until);
         let mut answer = self.cell.report(report, may_grant, now);
         answer.is_store_lost = self.is_store_lost(now);
         let has_news = !answer.orders.is_empty()
--- a/crates/teaseltrack-cell/tests/agent.rs
+++ b/crates/teaseltrack-cell/tests/agent.rs
@@ -6,7 +6,7 @@
 };
 
 use teaseltrack::{
-    cell::protocol::{ReportAnswer, WorkerListing, WorkerStatus},
+    cell::protocol::{ReportResponse, WorkerListing, WorkerStatus},
     clock::SystemClock,
 };
 use teaseltrack_cell::{
@@ -25,7 +25,11 @@
 const LIMIT: Duration = Duration::from_secs(20);
 
 fn status(born_unix_ms: u64) -> WorkerStatus {
-    WorkerStatus { worker: "worker".to_owned(), born_unix_ms, ..WorkerStatus::default() }
+    WorkerStatus {
+        worker: "worker".to_owned(),
+        started_unix_ms: born_unix_ms,
+        ..WorkerStatus::default()
+    }
 }
 
 fn announced(born_unix_ms: u64) -> AgentEvent {
@@ -33,9 +37,9 @@
 }
 
 fn answered(born_unix_ms: u64, session: u64, forget_until: u64) -> AgentEvent {
-    let answer = ReportAnswer { epoch: 1, session, forget_until, ..ReportAnswer::default() };
+    let answer = ReportResponse { epoch: 1, session, forget_until, ..ReportResponse::default() };
     AgentEvent::Reported {
-        life: status(born_unix_ms).life(),
+        life: status(born_unix_ms).incarnation(),
         is_poll: false,
         refused_count: 0,
         answer: Some(Box::new(answer)),
--- a/crates/teaseltrack-wire/src/cell.rs
+++ b/crates/teaseltrack-wire/src/cell.rs
@@ -3,7 +3,7 @@
 use teaseltrack::cell::{
     job::{JobId, QueueName},
     progress::JobState,
-    protocol::{Report, ReportAnswer},
+    protocol::{Report, ReportResponse},
 };
 
 /// Bytes of the largest message.
@@ -24,7 +24,7 @@
 #[tarpc::service]
 pub trait CellControl {
     /// Takes an agent's report and hands out its orders.
-    async fn report(report: Report) -> ReportAnswer;
+    async fn report(report: Report) -> ReportResponse;
     /// State of a job.
     async fn job_state(job: JobId) -> JobLookup;
     /// Jobs of a queue of which no task has started; `None` from a process that isn't the owner.
--- a/crates/teaseltrack/src/cell.rs
+++ b/crates/teaseltrack/src/cell.rs
@@ -19,13 +19,13 @@
 
 use crate::{
     cell::{
-        interference::{ImageUsage, Interference, InterferenceSettings},
+        interference::{ImageUsage, InterferenceModel, InterferenceSettings},
         job::{JobId, JobSpec, Queue, QueueConfiguration, Stage},
         progress::{
-            JobProgress, JobState, OccurrenceProgress, TaskPhase, TaskProgress, WorkerLife,
+            JobProgress, JobState, OccurrenceProgress, TaskPhase, TaskProgress, WorkerIncarnation,
         },
         protocol::{
-            EndCause, EndedTask, Order, RefusedStart, Report, ReportAnswer, RunningTask,
+            EndCause, EndedTask, Order, RefusedStart, Report, ReportResponse, RunningTask,
             SessionToken, SharingTraits, StartOrder, TaskName, WorkerListing, WorkerStatus,
         },
         tail_model::Tail,
@@ -182,7 +182,7 @@
         /// Its attempt.
         attempt: AttemptNumber,
         /// Where.
-        worker: WorkerLife,
+        worker: WorkerIncarnation,
     },
     /// A run ended.
     Ended {
@@ -191,7 +191,7 @@
         /// Its attempt.
         attempt: AttemptNumber,
         /// Where.
-        worker: WorkerLife,
+        worker: WorkerIncarnation,
         /// How.
         cause: EndCause,
     },
@@ -202,7 +202,7 @@
         /// Its attempt.
         attempt: AttemptNumber,
         /// Where.
-        worker: WorkerLife,
+        worker: WorkerIncarnation,
     },
     /// A serving task is stopped to be placed elsewhere.
     Moved {
@@ -211,7 +211,7 @@
         /// Its attempt.
         attempt: AttemptNumber,
         /// From where.
-        worker: WorkerLife,
+        worker: WorkerIncarnation,
     },
     /// A task was taken back from a worker without an end.
     TakenBack {
@@ -220,7 +220,7 @@
         /// Its attempt.
         attempt: AttemptNumber,
         /// From where.
-        worker: WorkerLife,
+        worker: WorkerIncarnation,
         /// Why.
         reason: String,
     },
@@ -234,7 +234,7 @@
     /// A worker's life began a session.
     Session {
         /// The worker.
-        worker: WorkerLife,
+        worker: WorkerIncarnation,
         /// Its agent.
         agent: InstanceId,
         /// The session.
@@ -268,13 +268,13 @@
     by_id: HashMap<JobId, JobKey>,
     active: Vec<JobKey>,
     workers: SlotMap<WorkerKey, Worker>,
-    by_life: HashMap<WorkerLife, WorkerKey>,
+    by_life: HashMap<WorkerIncarnation, WorkerKey>,
     by_agent: BTreeMap<InstanceId, WorkerKey>,
     pending: Option<PendingEffects>,
     needs_plan: bool,
     events: Vec<CellEvent>,
     foreign_leases_end: Instant,
-    interference: Interference,
+    interference: InterferenceModel,
     settled_at: Option<Instant>,
     regrouped_at: Option<Instant>,
 }
@@ -291,7 +291,7 @@
     ) -> Self {
         Self {
             foreign_leases_end: foreign_grants_end + settings.slowest_lease(),
-            interference: Interference::new(settings.interference),
+            interference: InterferenceModel::new(settings.interference),
             settled_at: None,
             regrouped_at: None,
             settings,
@@ -407,8 +407,8 @@
     /// Takes in an agent's report and answers it.
     ///
     /// `may_grant` is whether the owner may still grant leases.
-    pub fn report(&mut self, report: Report, may_grant: bool, now: Instant) -> ReportAnswer {
-        let mut answer = ReportAnswer { epoch: self.epoch, ..ReportAnswer::default() };
+    pub fn report(&mut self, report: Report, may_grant: bool, now: Instant) -> ReportResponse {
+        let mut answer = ReportResponse { epoch: self.epoch, ..ReportResponse::default() };
         let Some(status) = report.status else { return answer };
         let Some(key) = self.attach(&report.agent, status, now) else { return answer };
         if !self.check_session(key, report.session, report.started_unix_ms, &report.agent) {
@@ -423,7 +423,7 @@
             worker.is_reachable = report.is_worker_reachable;
             self.needs_plan = true;
         }
-        worker.take_orders(report.taken_order);
+        worker.take_orders(report.accepted_order);
         for refused in report.refused {
             self.take_refusal(key, &refused, now);
         }
@@ -433,11 +433,11 @@
             }
             self.take_listing(key, listing, now);
         }
-        if let Some(known) = report.disturbances {
-            self.interference.adopt(known);
+        if let Some(known) = report.interference {
+            self.interference.adopt_estimates(known);
         }
-        if report.disturbances_version != self.interference.known().version {
-            answer.disturbances = Some(self.interference.known().clone());
+        if report.interference_version != self.interference.estimates().version {
+            answer.interference = Some(self.interference.estimates().clone());
         }
         self.grant(key, report.worker_clock_ms, may_grant, now, &mut answer);
         let worker = &self.workers[key];
@@ -458,8 +458,8 @@
     }
 
     /// An answer to a report that was answered before, with what has come since.
-    pub fn news(&self, agent: &str) -> ReportAnswer {
-        let mut answer = ReportAnswer { epoch: self.epoch, ..ReportAnswer::default() };
+    pub fn news(&self, agent: &str) -> ReportResponse {
+        let mut answer = ReportResponse { epoch: self.epoch, ..ReportResponse::default() };
         let Some(worker) = self.by_agent.get(agent).map(|key| &self.workers[*key]) else {
             return answer;
         };
@@ -484,7 +484,7 @@
         }
         let settled_at = *self.settled_at.get_or_insert(now);
         if now.duration_since(settled_at) >= SETTLE_INTERVAL {
-            self.interference.settle(now.duration_since(settled_at), now);
+            self.interference.update_estimates(now.duration_since(settled_at), now);
             self.stop_stalled_runs(now);
             self.forget_slowness(now.duration_since(settled_at));
             self.settled_at = Some(now);
@@ -507,14 +507,14 @@
                 tails.push((task, image, run.gauge, target_ms));
             }
         }
-        let known = self.interference.known();
+        let known = self.interference.estimates();
         let aim = self.settings.planning.tail_aim;
         let mut headrooms = BTreeMap::new();
         for (_, image, tail_ms, target_ms) in &tails {
             let tail_ms = *tail_ms as f64;
-            let floor_ms = known.floor_ms(image, tail_ms);
-            let tail = Tail { tail_ms, floor_ms, target_ms: *target_ms as f64 };
-            let undisturbed = tail.utilization() / (1.0 + known.growth(image, &usage));
+            let idle_tail_ms = known.idle_tail_ms(image, tail_ms);
+            let tail = Tail { tail_ms, idle_tail_ms, target_ms: *target_ms as f64 };
+            let undisturbed = tail.utilization() / (1.0 + known.total_growth(image, &usage));
             let headroom = tail.utilization_at(aim) / undisturbed - 1.0;
             let least = headrooms.entry(image.clone()).or_insert(headroom);
             *least = headroom.min(*least);
@@ -640,12 +640,12 @@
         status: WorkerStatus,
         now: Instant,
     ) -> Option<WorkerKey> {
-        let life = status.life();
+        let life = status.incarnation();
         if let Some(&current) = self.by_agent.get(agent) {
             let known = &self.workers[current];
-            let born = known.status.as_ref().map_or(0, |status| status.born_unix_ms);
+            let born = known.status.as_ref().map_or(0, |status| status.started_unix_ms);
             if known.life != life {
-                if born > status.born_unix_ms {
+                if born > status.started_unix_ms {
                     return None;
                 }
                 self.end_life(current, "the worker began a new life");
@@ -701,7 +701,7 @@
         worker_clock_ms: u64,
         may_grant: bool,
         now: Instant,
-        answer: &mut ReportAnswer,
+        answer: &mut ReportResponse,
     ) {
         let slowest_lease = self.settings.slowest_lease();
         let worker = &mut self.workers[key];
--- a/crates/teaseltrack/src/cell/interference.rs
+++ b/crates/teaseltrack/src/cell/interference.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cell::{
-    tail_model::{SWAMPED_UTILIZATION, utilization, utilization_noise},
+    tail_model::{SATURATED_UTILIZATION, utilization, utilization_noise},
     worker::TaskKey,
 };
 
@@ -73,67 +73,68 @@
     /// Time after which a sample weighs half, in seconds.
     pub half_life_s: f64,
     /// Longest time between two samples whose difference counts.
-    pub longest_step: Duration,
+    pub max_sample_interval: Duration,
     /// Weight of the assumption that nothing disturbs, in squared shares by noise.
-    pub ridge: f64,
+    pub ridge_penalty: f64,
     /// Squared changes of an image's share, in units of noise, after which an earlier owner's word
     /// no longer holds.
-    pub least_evidence: f64,
+    pub min_evidence: f64,
     /// Samples that say as much as one independent sample: tails are averages.
-    pub correlation: f64,
+    pub variance_inflation: f64,
 }
 
 /// What a best-effort image does to a serving image.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Disturbance {
+pub struct PairInterference {
     /// The serving image.
     pub serving: ImageName,
     /// The best-effort image.
     pub best_effort: ImageName,
     /// Expected growth of the serving task's utilization by a whole worker of the image, as a share;
     /// 0 if the image is harmless as far as can be told.
-    pub effect: f64,
+    #[serde(rename = "effect")]
+    pub utilization_growth: f64,
 }
 
 /// Pairs of images that were judged, with a version that goes up with each change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Disturbances {
+pub struct InterferenceEstimates {
     /// The version.
     pub version: u64,
     /// The pairs, sorted by images.
-    pub pairs: Vec<Disturbance>,
+    pub pairs: Vec<PairInterference>,
     /// Tail of an idle task by serving image, in milliseconds.
-    #[serde(default)]
-    pub floors_ms: BTreeMap<ImageName, f64>,
+    #[serde(rename = "floors_ms", default)]
+    pub idle_tails_ms: BTreeMap<ImageName, f64>,
 }
 
-impl Disturbances {
+impl InterferenceEstimates {
     /// Expected effect of a best-effort image on a serving image.
-    pub fn effect(&self, serving: &str, best_effort: &str) -> f64 {
+    pub fn utilization_growth(&self, serving: &str, best_effort: &str) -> f64 {
         let found = self.pairs.binary_search_by(|pair| {
             (pair.serving.as_str(), pair.best_effort.as_str()).cmp(&(serving, best_effort))
         });
-        found.map_or(UNSEEN_EFFECT, |index| self.pairs[index].effect)
+        found.map_or(UNSEEN_EFFECT, |index| self.pairs[index].utilization_growth)
     }
 
     /// Whether it isn't clear yet if the best-effort image disturbs the serving image.
-    pub fn is_open(&self, serving: &str, best_effort: &str) -> bool {
-        let effect = self.effect(serving, best_effort);
+    pub fn is_inconclusive(&self, serving: &str, best_effort: &str) -> bool {
+        let effect = self.utilization_growth(serving, best_effort);
         (HARMLESS_EFFECT..DISTURBING_EFFECT).contains(&effect)
     }
 
     /// Tail of an idle task of a serving image; a lone tail is its own floor.
-    pub fn floor_ms(&self, serving: &str, tail_ms: f64) -> f64 {
-        self.floors_ms.get(serving).copied().unwrap_or(tail_ms).min(tail_ms)
+    pub fn idle_tail_ms(&self, serving: &str, tail_ms: f64) -> f64 {
+        self.idle_tails_ms.get(serving).copied().unwrap_or(tail_ms).min(tail_ms)
     }
 
     /// Growth of a serving task's utilization by what best-effort images use, as a share.
-    pub fn growth(&self, serving: &str, usage: &ImageUsage) -> f64 {
-        usage.iter().map(|(image, share)| self.effect(serving, image) * share).sum()
+    pub fn total_growth(&self, serving: &str, usage: &ImageUsage) -> f64 {
+        usage.iter().map(|(image, share)| self.utilization_growth(serving, image) * share).sum()
     }
 
     /// Whether the same best-effort images disturb both serving images, as far as is known.
-    pub fn are_alike(&self, serving: &str, other: &str) -> bool {
+    pub fn have_same_interferers(&self, serving: &str, other: &str) -> bool {
         self.disturbing(serving).next().is_some()
             && self.disturbing(serving).eq(self.disturbing(other))
     }
@@ -142,7 +143,9 @@
     fn disturbing<'a>(&'a self, serving: &'a str) -> impl Iterator<Item = &'a ImageName> {
         let start = self.pairs.partition_point(|pair| pair.serving.as_str() < serving);
         let pairs = self.pairs[start..].iter().take_while(move |pair| pair.serving == serving);
-        pairs.filter(|pair| pair.effect >= DISTURBING_EFFECT).map(|pair| &pair.best_effort)
+        pairs
+            .filter(|pair| pair.utilization_growth >= DISTURBING_EFFECT)
+            .map(|pair| &pair.best_effort)
     }
 }
 
@@ -168,33 +171,33 @@
 
 /// Learns which images disturb which.
 #[derive(Clone, Debug)]
-pub struct Interference {
+pub struct InterferenceModel {
     settings: InterferenceSettings,
     fits: BTreeMap<ImageName, Fit>,
-    floors_ms: BTreeMap<ImageName, f64>,
+    idle_tails_ms: BTreeMap<ImageName, f64>,
     last: HashMap<TaskKey, Sample>,
-    prior: Disturbances,
-    known: Disturbances,
+    prior: InterferenceEstimates,
+    known: InterferenceEstimates,
 }
 
-impl Interference {
+impl InterferenceModel {
     /// Nothing learned yet.
     pub fn new(settings: InterferenceSettings) -> Self {
         Self {
             settings,
             fits: BTreeMap::new(),
-            floors_ms: BTreeMap::new(),
+            idle_tails_ms: BTreeMap::new(),
             last: HashMap::new(),
-            prior: Disturbances::default(),
-            known: Disturbances::default(),
+            prior: InterferenceEstimates::default(),
+            known: InterferenceEstimates::default(),
         }
     }
 
     /// Takes over what an earlier owner had learned; holds until samples say otherwise.
-    pub fn adopt(&mut self, known: Disturbances) {
+    pub fn adopt_estimates(&mut self, known: InterferenceEstimates) {
         if known.version > self.known.version {
-            for (image, floor_ms) in &known.floors_ms {
-                self.note_floor(image, *floor_ms);
+            for (image, idle_tail_ms) in &known.idle_tails_ms {
+                self.note_floor(image, *idle_tail_ms);
             }
             self.prior = known.clone();
             self.known = known;
@@ -202,7 +205,7 @@
     }
 
     /// The known disturbances.
-    pub fn known(&self) -> &Disturbances {
+    pub fn estimates(&self) -> &InterferenceEstimates {
         &self.known
     }
 
@@ -228,13 +231,14 @@
         };
         let sample = Sample { at: now, tail_ms, usage: usage.clone(), effective_usage };
         let Some(last) = self.last.insert(task, sample) else { return };
-        if now.duration_since(last.at) > self.settings.longest_step {
+        if now.duration_since(last.at) > self.settings.max_sample_interval {
             return;
         }
-        let floor_ms = self.floors_ms.get(serving).copied().unwrap_or(tail_ms);
-        let (before, after) = (utilization(floor_ms, last.tail_ms), utilization(floor_ms, tail_ms));
+        let idle_tail_ms = self.idle_tails_ms.get(serving).copied().unwrap_or(tail_ms);
+        let (before, after) =
+            (utilization(idle_tail_ms, last.tail_ms), utilization(idle_tail_ms, tail_ms));
         let lower = before.min(after);
-        if lower >= SWAMPED_UTILIZATION {
+        if lower >= SATURATED_UTILIZATION {
             return;
         }
         let noise_before = utilization_noise(before, last.tail_ms);
@@ -252,17 +256,17 @@
     }
 
     fn note_floor(&mut self, serving: &str, tail_ms: f64) {
-        let floor_ms = self.floors_ms.entry(serving.to_owned()).or_insert(tail_ms);
-        *floor_ms = floor_ms.min(tail_ms);
+        let idle_tail_ms = self.idle_tails_ms.entry(serving.to_owned()).or_insert(tail_ms);
+        *idle_tail_ms = idle_tail_ms.min(tail_ms);
     }
 
     /// Ages the samples by the time since the last call, and works out the effects anew.
-    pub fn settle(&mut self, elapsed: Duration, now: Instant) {
+    pub fn update_estimates(&mut self, elapsed: Duration, now: Instant) {
         let settings = self.settings;
-        self.last.retain(|_, sample| now.duration_since(sample.at) <= settings.longest_step);
+        self.last.retain(|_, sample| now.duration_since(sample.at) <= settings.max_sample_interval);
         let factor = 0.5_f64.powf(elapsed.as_secs_f64() / settings.half_life_s);
         let fits = &self.fits;
-        let is_open = |pair: &Disturbance| {
+        let is_open = |pair: &PairInterference| {
             fits.get(&pair.serving).is_none_or(|fit| !fit.has_judged(&pair.best_effort, &settings))
         };
         self.prior.pairs.retain(is_open);
@@ -271,28 +275,33 @@
             fit.age(factor);
             for (best_effort, effect) in fit.effects(&settings) {
                 pairs.retain(|pair| pair.serving != *serving || pair.best_effort != best_effort);
-                pairs.push(Disturbance { serving: serving.clone(), best_effort, effect });
+                pairs.push(PairInterference {
+                    serving: serving.clone(),
+                    best_effort,
+                    utilization_growth: effect,
+                });
             }
         }
         pairs.sort_by(|a, b| (&a.serving, &a.best_effort).cmp(&(&b.serving, &b.best_effort)));
         if self.has_changed(&pairs) || self.has_lower_floor() {
-            let floors_ms = self.floors_ms.clone();
-            self.known = Disturbances { version: self.known.version + 1, pairs, floors_ms };
+            let idle_tails_ms = self.idle_tails_ms.clone();
+            self.known =
+                InterferenceEstimates { version: self.known.version + 1, pairs, idle_tails_ms };
         }
     }
 
-    fn has_changed(&self, pairs: &[Disturbance]) -> bool {
+    fn has_changed(&self, pairs: &[PairInterference]) -> bool {
         pairs.len() != self.known.pairs.len()
             || pairs.iter().any(|pair| {
-                let told = self.known.effect(&pair.serving, &pair.best_effort);
-                (pair.effect - told).abs() > EFFECT_STEP * told.max(1.0)
+                let told = self.known.utilization_growth(&pair.serving, &pair.best_effort);
+                (pair.utilization_growth - told).abs() > EFFECT_STEP * told.max(1.0)
             })
     }
 
     fn has_lower_floor(&self) -> bool {
-        self.floors_ms.iter().any(|(image, floor_ms)| {
-            let told_ms = self.known.floors_ms.get(image);
-            told_ms.is_none_or(|told_ms| *floor_ms < told_ms * (1.0 - FLOOR_STEP))
+        self.idle_tails_ms.iter().any(|(image, idle_tail_ms)| {
+            let told_ms = self.known.idle_tails_ms.get(image);
+            told_ms.is_none_or(|told_ms| *idle_tail_ms < told_ms * (1.0 - FLOOR_STEP))
         })
     }
 }
@@ -354,14 +363,14 @@
     /// Whether the image was seen to come and go often enough to judge it.
     fn has_judged(&self, image: &str, settings: &InterferenceSettings) -> bool {
         let column = self.columns.get(image);
-        column.is_some_and(|column| self.products[*column][*column] >= settings.least_evidence)
+        column.is_some_and(|column| self.products[*column][*column] >= settings.min_evidence)
     }
 
     /// Expected effects of the images that were seen.
     fn effects(&self, settings: &InterferenceSettings) -> Vec<(ImageName, f64)> {
         let mut matrix = self.products.clone();
         for (i, row) in matrix.iter_mut().enumerate() {
-            row[i] += settings.ridge;
+            row[i] += settings.ridge_penalty;
         }
         let Some(inverse) = invert(matrix) else { return Vec::new() };
         let effects: Vec<f64> = inverse.iter().map(|row| dot(row, &self.targets)).collect();
@@ -369,7 +378,7 @@
         // Samples come in units of their expected noise; the model isn't better than that.
         let variance = ((self.target_square - explained) / self.weight.max(1.0)).max(1.0);
         let expect = |column: usize| {
-            let error = (variance * inverse[column][column] * settings.correlation).sqrt();
+            let error = (variance * inverse[column][column] * settings.variance_inflation).sqrt();
             let effect = PRIOR.expected_effect(effects[column], error);
             if effect < HARMLESS_EFFECT { 0.0 } else { effect }
         };
--- a/crates/teaseltrack/src/cell/job.rs
+++ b/crates/teaseltrack/src/cell/job.rs
@@ -145,7 +145,7 @@
     }
 
     /// Declared run time along the longest chain of stages, in milliseconds.
-    pub fn chain_estimate_ms(&self) -> u64 {
+    pub fn critical_path_ms(&self) -> u64 {
         let mut chains: Vec<u64> = Vec::with_capacity(self.stages.len());
         for stage in &self.stages {
             let before = stage.after.iter().map(|&earlier| chains[earlier]).max().unwrap_or(0);
--- a/crates/teaseltrack/src/cell/ownership.rs
+++ b/crates/teaseltrack/src/cell/ownership.rs
@@ -33,18 +33,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct OwnershipSettings {
     /// Time without a change of the row after which a candidate takes the cell.
-    pub silence: Duration,
+    pub takeover_timeout: Duration,
     /// How long an owner grants leases after it sent its last successful commit.
     pub grant_period: Duration,
 }
 
 /// A candidate's view of the owner's row.
 #[derive(Clone, Debug, Default)]
-pub struct OwnershipWatch {
+pub struct OwnershipMonitor {
     seen: Option<(u64, Instant)>,
 }
 
-impl OwnershipWatch {
+impl OwnershipMonitor {
     /// Takes in the row's version, read at `now`; 0 for no row.
     pub fn observe(&mut self, version: u64, now: Instant) {
         if self.seen.is_none_or(|(known, _)| known != version) {
--- a/crates/teaseltrack/src/cell/pacing.rs
+++ b/crates/teaseltrack/src/cell/pacing.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     cell::{
-        interference::{Disturbances, ImageName, ImageUsage},
+        interference::{ImageName, ImageUsage, InterferenceEstimates},
         protocol::{RunningTask, SharingTraits, TaskName},
         tail_model::Tail,
     },
@@ -27,20 +27,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PacingSettings {
     /// Share of its target that a disturbed tail is steered to.
-    pub aim: f64,
+    pub setpoint: f64,
     /// Weight of the newest tail, less its disturbance, in the mean that is steered by: single
     /// figures are rough.
-    pub newest_weight: f64,
+    pub smoothing_factor: f64,
     /// Smallest change of a pace that is worth a call, in percent.
-    pub least_change: u32,
+    pub min_change_percent: u32,
     /// Pace below which tasks are paused altogether, in percent.
-    pub least_percent: u32,
+    pub min_percent: u32,
     /// Share of a worker that a task of an image is taken to use before it was seen at work.
-    pub assumed_share: f64,
+    pub default_share: f64,
     /// Time over the target after which all best-effort tasks are paused.
     pub pause_after: Duration,
     /// Length of such a pause: a tail that is still over its target then has other causes.
-    pub pause: Duration,
+    pub pause_duration: Duration,
 }
 
 /// A pace to set.
@@ -68,7 +68,7 @@
     settings: PacingSettings,
     traits: HashMap<TaskName, SharingTraits>,
     set: HashMap<TaskName, (AttemptNumber, u32)>,
-    known: Disturbances,
+    known: InterferenceEstimates,
     full_shares: HashMap<TaskName, f64>,
     last_usage: ImageUsage,
     undisturbed: HashMap<TaskName, f64>,
@@ -85,7 +85,7 @@
             settings,
             traits: HashMap::new(),
             set: HashMap::new(),
-            known: Disturbances::default(),
+            known: InterferenceEstimates::default(),
             full_shares: HashMap::new(),
             last_usage: ImageUsage::new(),
             undisturbed: HashMap::new(),
@@ -97,17 +97,17 @@
     }
 
     /// Learns how a task shares the worker.
-    pub fn learn(&mut self, traits: SharingTraits) {
+    pub fn set_traits(&mut self, traits: SharingTraits) {
         self.traits.insert(traits.task.clone(), traits);
     }
 
     /// Learns which images disturb which.
-    pub fn learn_disturbances(&mut self, known: Disturbances) {
+    pub fn set_estimates(&mut self, known: InterferenceEstimates) {
         self.known = known;
     }
 
     /// The disturbances in use.
-    pub fn disturbances(&self) -> &Disturbances {
+    pub fn estimates(&self) -> &InterferenceEstimates {
         &self.known
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Tail latency of the worst-off serving task as a share of its target, as last seen.
-    pub fn pressure(&self) -> f64 {
+    pub fn tail_to_target(&self) -> f64 {
         self.pressure
     }
 
@@ -147,7 +147,7 @@
         let steered = *self.percents.get(&run.task)?;
         let percent = if self.is_paused() { 0 } else { steered };
         let current = self.percent_of(run);
-        let is_small = percent.abs_diff(current) < self.settings.least_change;
+        let is_small = percent.abs_diff(current) < self.settings.min_change_percent;
         let is_end = percent == 0 || percent == FULL_PERCENT;
         if percent == current || (is_small && !is_end) {
             return None;
@@ -198,7 +198,7 @@
         }
         let since = *self.over_since.get_or_insert(now);
         if now.duration_since(since) >= self.settings.pause_after {
-            self.paused_until = Some(now + self.settings.pause);
+            self.paused_until = Some(now + self.settings.pause_duration);
         }
     }
 
@@ -210,7 +210,7 @@
             let used_share = run.gauge as f64 / capacity_milli;
             *usage.entry(image).or_insert(0.0) += used_share;
             let percent = self.percent_of(run);
-            if percent >= self.settings.least_percent && used_share > 0.0 {
+            if percent >= self.settings.min_percent && used_share > 0.0 {
                 let full_share = used_share * f64::from(FULL_PERCENT) / f64::from(percent);
                 self.full_shares.insert(run.task.clone(), full_share);
             }
@@ -234,13 +234,13 @@
         let mut undisturbed = HashMap::new();
         for run in running {
             let Some((image, tail)) = self.tail_of(run) else { continue };
-            let newest = tail.utilization() / (1.0 + self.known.growth(&image, &lasting));
+            let newest = tail.utilization() / (1.0 + self.known.total_growth(&image, &lasting));
             let earlier = self.undisturbed.get(&run.task).copied().unwrap_or(newest);
-            let smoothed = earlier + self.settings.newest_weight * (newest - earlier);
+            let smoothed = earlier + self.settings.smoothing_factor * (newest - earlier);
             let load = newest.max(smoothed);
             undisturbed.insert(run.task.clone(), load);
-            let at_aim = tail.utilization_at(self.settings.aim);
-            let headroom = if tail.is_over() { 0.0 } else { (at_aim / load - 1.0).max(0.0) };
+            let at_aim = tail.utilization_at(self.settings.setpoint);
+            let headroom = if tail.exceeds_target() { 0.0 } else { (at_aim / load - 1.0).max(0.0) };
             let least = headrooms.entry(image).or_insert(headroom);
             *least = headroom.min(*least);
         }
@@ -253,8 +253,8 @@
         let target_ms = traits.target_tail_ms.filter(|_| run.gauge > 0)? as f64;
         let image = traits.image.clone().unwrap_or_default();
         let tail_ms = run.gauge as f64;
-        let floor_ms = self.known.floor_ms(&image, tail_ms);
-        Some((image, Tail { tail_ms, floor_ms, target_ms }))
+        let idle_tail_ms = self.known.idle_tail_ms(&image, tail_ms);
+        Some((image, Tail { tail_ms, idle_tail_ms, target_ms }))
     }
 
     fn best_effort_image(&self, run: &RunningTask) -> Option<ImageName> {
@@ -270,7 +270,7 @@
             let full_share = self.full_shares.get(&run.task).copied();
             demands.entry(image).or_default().push(Demand {
                 run,
-                full_share: full_share.unwrap_or(self.settings.assumed_share),
+                full_share: full_share.unwrap_or(self.settings.default_share),
                 is_at_work: self.percent_of(run) > 0,
             });
         }
@@ -295,7 +295,7 @@
             }
             if allowed.is_finite() {
                 for (serving, headroom) in &mut headrooms {
-                    *headroom -= self.known.effect(serving, &image) * (allowed - left);
+                    *headroom -= self.known.utilization_growth(serving, &image) * (allowed - left);
                 }
             }
         }
@@ -305,7 +305,7 @@
     fn allowed_share(&self, image: &str, headrooms: &BTreeMap<ImageName, f64>) -> f64 {
         headrooms
             .iter()
-            .map(|(serving, headroom)| (self.known.effect(serving, image), headroom))
+            .map(|(serving, headroom)| (self.known.utilization_growth(serving, image), headroom))
             .filter(|(effect, _)| *effect > 0.0)
             .map(|(effect, headroom)| headroom.max(0.0) / effect)
             .fold(f64::INFINITY, f64::min)
@@ -313,6 +313,6 @@
 
     fn percent_for(&self, share: f64) -> u32 {
         let percent = (share * f64::from(FULL_PERCENT)) as u32;
-        if percent < self.settings.least_percent { 0 } else { percent }
+        if percent < self.settings.min_percent { 0 } else { percent }
     }
 }
--- a/crates/teaseltrack/src/cell/planning.rs
+++ b/crates/teaseltrack/src/cell/planning.rs
@@ -256,7 +256,7 @@
 
     fn rank(&self, key: JobKey, stage: &Stage, now: Instant) -> (Kind, Lateness, u32, Instant) {
         let job = &self.jobs[key];
-        let chain_ms = job.queue.stretch.max(1.0) * job.spec.chain_estimate_ms() as f64;
+        let chain_ms = job.queue.stretch.max(1.0) * job.spec.critical_path_ms() as f64;
         let objective = Duration::from_millis(chain_ms as u64 + job.queue.objective_ms);
         let deadline = job.accepted_at + objective;
         let hopeless = job.accepted_at + objective.mul_f64(self.settings.planning.hopeless_factor);
--- a/crates/teaseltrack/src/cell/progress.rs
+++ b/crates/teaseltrack/src/cell/progress.rs
@@ -8,7 +8,7 @@
 use crate::ids::AttemptNumber;
 
 /// One life of a worker: changes whenever the worker has forgotten what it ran.
-pub type WorkerLife = String;
+pub type WorkerIncarnation = String;
 
 /// State of a job towards its caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
     Waiting,
     /// On a worker under the current attempt.
     #[serde(rename = "a")]
-    Assigned(WorkerLife),
+    Assigned(WorkerIncarnation),
     /// Done.
     #[serde(rename = "d")]
     Done,
--- a/crates/teaseltrack/src/cell/protocol.rs
+++ b/crates/teaseltrack/src/cell/protocol.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    cell::{interference::Disturbances, job::JobId, progress::WorkerLife},
+    cell::{interference::InterferenceEstimates, job::JobId, progress::WorkerIncarnation},
     ids::{AttemptNumber, Epoch, InstanceId, ServiceName, ZoneName},
     placement::Resources,
 };
@@ -42,7 +42,8 @@
     /// Its identifier; may outlive a crash.
     pub worker: String,
     /// Start of its present life, in milliseconds since the Unix epoch.
-    pub born_unix_ms: u64,
+    #[serde(rename = "born_unix_ms")]
+    pub started_unix_ms: u64,
     /// Service whose tasks it runs.
     pub service: ServiceName,
     /// Availability zone.
@@ -59,8 +60,8 @@
 
 impl WorkerStatus {
     /// Name of the worker's present life.
-    pub fn life(&self) -> WorkerLife {
-        format!("{}@{}", self.worker, self.born_unix_ms)
+    pub fn incarnation(&self) -> WorkerIncarnation {
+        format!("{}@{}", self.worker, self.started_unix_ms)
     }
 }
 
@@ -168,13 +169,16 @@
     /// Starts that left nothing running.
     pub refused: Vec<RefusedStart>,
     /// Last order that was taken.
-    pub taken_order: u64,
+    #[serde(rename = "taken_order")]
+    pub accepted_order: u64,
     /// Ends that the worker was told to forget, up to this number.
     pub forgot_until: u64,
     /// Version of the disturbances that it knows.
-    pub disturbances_version: u64,
+    #[serde(rename = "disturbances_version")]
+    pub interference_version: u64,
     /// The disturbances themselves, in the first full report of a session.
-    pub disturbances: Option<Disturbances>,
+    #[serde(rename = "disturbances")]
+    pub interference: Option<InterferenceEstimates>,
     /// How long to wait for orders, in milliseconds.
     pub wait_ms: u64,
 }
@@ -218,7 +222,7 @@
 
 /// The owner's answer to a report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct ReportResponse {
     /// Epoch of the answering owner; 0 if the answering process owns nothing.
     pub epoch: Epoch,
     /// Session to go on with.
@@ -232,7 +236,8 @@
     /// The orders.
     pub orders: Vec<Order>,
     /// Known disturbances, if the agent knows another version.
-    pub disturbances: Option<Disturbances>,
+    #[serde(rename = "disturbances")]
+    pub interference: Option<InterferenceEstimates>,
     /// Whether the owner has been without the store for long.
     pub is_store_lost: bool,
     /// Address of the owner that the answering process knows of.
--- a/crates/teaseltrack/src/cell/regrouping.rs
+++ b/crates/teaseltrack/src/cell/regrouping.rs
@@ -67,10 +67,10 @@
         let Some((main, _)) = worker.serving_images.iter().max_by_key(|(_, count)| **count) else {
             return Vec::new();
         };
-        let known = self.interference.known();
+        let known = self.interference.estimates();
         let odd: Vec<TaskKey> = serving
             .iter()
-            .filter(|(_, image)| image != main && !known.are_alike(image, main))
+            .filter(|(_, image)| image != main && !known.have_same_interferers(image, main))
             .map(|(task, _)| *task)
             .collect();
         if odd.len() <= MOST_MOVES { odd } else { Vec::new() }
--- a/crates/teaseltrack/src/cell/scoring.rs
+++ b/crates/teaseltrack/src/cell/scoring.rs
@@ -135,8 +135,9 @@
     fn company(&self, worker: &Worker, stage: &Stage) -> Company {
         let image = stage.image.as_deref().unwrap_or_default();
         let present = &worker.serving_images;
-        let is_alike =
-            |other: &ImageName| other == image || self.interference.known().are_alike(image, other);
+        let is_alike = |other: &ImageName| {
+            other == image || self.interference.estimates().have_same_interferers(image, other)
+        };
         match present.len() {
             0 => Company::Empty,
             _ if present.keys().all(is_alike) => Company::Alike,
@@ -159,14 +160,14 @@
 
     /// Works out what serving tasks on a worker can bear on top of what is there already.
     pub(super) fn update_headrooms(&mut self, key: WorkerKey) {
-        let known = self.interference.known();
+        let known = self.interference.estimates();
         let worker = &self.workers[key];
         let capacity_milli = worker.status.as_ref().map_or(0, |status| status.capacity.cpu_milli);
         let growth = |serving: &str| -> f64 {
             let asked = worker.best_effort_images.iter();
             let growths = asked.map(|(image, asked)| {
                 let share = asked.cpu_milli as f64 / capacity_milli.max(1) as f64;
-                known.effect(serving, image) * share
+                known.utilization_growth(serving, image) * share
             });
             growths.sum()
         };
@@ -180,19 +181,18 @@
     ///
     /// Images whose effect isn't clear yet are tried with few tasks.
     fn bearable_milli(&self, worker: &Worker, stage: &Stage) -> i64 {
-        let known = self.interference.known();
+        let known = self.interference.estimates();
         let image = stage.image.as_deref().unwrap_or_default();
         let capacity_milli = worker.status.as_ref().map_or(0, |status| status.capacity.cpu_milli);
         let task_count = worker.best_effort_images.get(image).map_or(0, |asked| asked.task_count);
         let is_tried = task_count >= self.settings.planning.tasks_on_trial
-            && worker.headrooms.keys().any(|serving| known.is_open(serving, image));
+            && worker.headrooms.keys().any(|serving| known.is_inconclusive(serving, image));
         if is_tried {
             return 0;
         }
-        let shares = worker
-            .left_headrooms
-            .iter()
-            .map(|(serving, left)| left / known.effect(serving, image).max(LEAST_EFFECT));
+        let shares = worker.left_headrooms.iter().map(|(serving, left)| {
+            left / known.utilization_growth(serving, image).max(LEAST_EFFECT)
+        });
         (shares.fold(1.0, f64::min) * capacity_milli as f64) as i64
     }
 }
--- a/crates/teaseltrack/src/cell/tail_model.rs
+++ b/crates/teaseltrack/src/cell/tail_model.rs
@@ -13,7 +13,7 @@
 const MOST_UTILIZATION: f64 = 0.98;
 
 /// Utilization from which on a task is swamped: it can't tell by how much.
-pub const SWAMPED_UTILIZATION: f64 = 0.95;
+pub const SATURATED_UTILIZATION: f64 = 0.95;
 /// Noise of a tail, as a share, on traced days without best-effort work.
 const TAIL_NOISE: f64 = 0.06;
 /// Tails come in whole milliseconds.
@@ -25,7 +25,8 @@
     /// The tail.
     pub tail_ms: f64,
     /// Tail of an idle task of the image.
-    pub floor_ms: f64,
+    #[serde(rename = "floor_ms")]
+    pub idle_tail_ms: f64,
     /// Tail that it must stay below.
     pub target_ms: f64,
 }
@@ -33,23 +34,23 @@
 impl Tail {
     /// Utilization that the tail stands for.
     pub fn utilization(&self) -> f64 {
-        utilization(self.floor_ms, self.tail_ms)
+        utilization(self.idle_tail_ms, self.tail_ms)
     }
 
     /// Utilization at a share of the target.
     pub fn utilization_at(&self, share_of_target: f64) -> f64 {
-        utilization(self.floor_ms, share_of_target * self.target_ms)
+        utilization(self.idle_tail_ms, share_of_target * self.target_ms)
     }
 
     /// Whether the tail is over its target.
-    pub fn is_over(&self) -> bool {
+    pub fn exceeds_target(&self) -> bool {
         self.tail_ms > self.target_ms
     }
 }
 
 /// Utilization at which a task of the floor has the tail.
-pub fn utilization(floor_ms: f64, tail_ms: f64) -> f64 {
-    (1.0 - floor_ms / tail_ms.max(1e-3)).clamp(LEAST_UTILIZATION, MOST_UTILIZATION)
+pub fn utilization(idle_tail_ms: f64, tail_ms: f64) -> f64 {
+    (1.0 - idle_tail_ms / tail_ms.max(1e-3)).clamp(LEAST_UTILIZATION, MOST_UTILIZATION)
 }
 
 /// Noise of a utilization that comes from a tail.
--- a/crates/teaseltrack/src/cell/worker.rs
+++ b/crates/teaseltrack/src/cell/worker.rs
@@ -10,7 +10,7 @@
         JobKey,
         interference::ImageName,
         job::Stage,
-        progress::WorkerLife,
+        progress::WorkerIncarnation,
         protocol::{Order, SessionToken, WorkerStatus},
     },
     ids::InstanceId,
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// Name of the life.
-    pub life: WorkerLife,
+    pub life: WorkerIncarnation,
     /// The agent beside it; `None` until one reports it to this owner.
     pub agent: Option<InstanceId>,
     /// Last status; `None` until an agent reports it to this owner.
@@ -118,7 +118,7 @@
 
 impl Worker {
     /// A worker that nothing is known of.
-    pub fn new(life: WorkerLife, now: Instant) -> Self {
+    pub fn new(life: WorkerIncarnation, now: Instant) -> Self {
         Self {
             life,
             agent: None,
--- a/crates/teaseltrack/tests/cell.rs
+++ b/crates/teaseltrack/tests/cell.rs
@@ -115,7 +115,7 @@
             session: self.session,
             status: Some(WorkerStatus {
                 worker: self.name.clone(),
-                born_unix_ms: self.life,
+                started_unix_ms: self.life,
                 service: "service".to_owned(),
                 capacity: CAPACITY,
                 ..WorkerStatus::default()
@@ -127,7 +127,7 @@
                 ended: self.ended.clone(),
             }),
             refused: self.refused.clone(),
-            taken_order: self.taken_order,
+            accepted_order: self.taken_order,
             ..Report::default()
         }
     }
--- a/crates/teaseltrack/tests/interference.rs
+++ b/crates/teaseltrack/tests/interference.rs
@@ -11,17 +11,20 @@
 use slotmap::Key;
 use teaseltrack::cell::{
     JobKey,
-    interference::{Disturbance, Disturbances, ImageUsage, Interference, InterferenceSettings},
+    interference::{
+        ImageUsage, InterferenceEstimates, InterferenceModel, InterferenceSettings,
+        PairInterference,
+    },
     worker::TaskKey,
 };
 use yare::parameterized;
 
 const SETTINGS: InterferenceSettings = InterferenceSettings {
     half_life_s: 20.0,
-    longest_step: Duration::from_millis(1_500),
-    ridge: 0.5,
-    least_evidence: 10.0,
-    correlation: 1.5,
+    max_sample_interval: Duration::from_millis(1_500),
+    ridge_penalty: 0.5,
+    min_evidence: 10.0,
+    variance_inflation: 1.5,
 };
 const STEP: Duration = Duration::from_millis(500);
 /// Time of a swing of a serving task's own load.
@@ -36,9 +39,9 @@
 }
 
 /// Plays workers with one serving task each, beside a heavy and a light image that come and go.
-fn play(seed: u64, seconds: u64) -> Interference {
+fn play(seed: u64, seconds: u64) -> InterferenceModel {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut interference = Interference::new(SETTINGS);
+    let mut interference = InterferenceModel::new(SETTINGS);
     let start = Instant::now();
     let mut usages = vec![ImageUsage::new(); 8];
     for step in 0..seconds * 2 {
@@ -58,57 +61,61 @@
             let usage = Arc::new(usage.clone());
             interference.observe(task(index as u32), "serving", tail_ms as u64, &usage, now);
         }
-        interference.settle(STEP, now);
+        interference.update_estimates(STEP, now);
     }
     interference
 }
 
 #[test]
-fn settle_tells_the_heavy_image_from_the_light_one() {
+fn update_estimates_tells_the_heavy_image_from_the_light_one() {
     for seed in 1..20 {
         let interference = play(seed, 10);
-        let known = interference.known();
-        let effect = known.effect("serving", "heavy");
+        let known = interference.estimates();
+        let effect = known.utilization_growth("serving", "heavy");
         assert!((effect - HEAVY_EFFECT).abs() < 1.5, "seed {seed}: {known:?}");
-        assert!(known.effect("serving", "light") < 0.3, "seed {seed}: {known:?}");
+        assert!(known.utilization_growth("serving", "light") < 0.3, "seed {seed}: {known:?}");
     }
 }
 
 #[test]
-fn settle_knows_the_tail_of_an_idle_task() {
-    let known = play(1, 20).known().clone();
-    let floor_ms = known.floor_ms("serving", 1_000.0);
-    assert!((FLOOR_MS..1.6 * FLOOR_MS).contains(&floor_ms), "{floor_ms}");
+fn update_estimates_knows_the_tail_of_an_idle_task() {
+    let known = play(1, 20).estimates().clone();
+    let idle_tail_ms = known.idle_tail_ms("serving", 1_000.0);
+    assert!((FLOOR_MS..1.6 * FLOOR_MS).contains(&idle_tail_ms), "{idle_tail_ms}");
 }
 
 #[test]
-fn effect_of_an_unseen_pair_is_open() {
-    let known = Disturbances::default();
-    assert!(known.is_open("serving", "unseen"));
+fn utilization_growth_of_an_unseen_pair_is_inconclusive() {
+    let known = InterferenceEstimates::default();
+    assert!(known.is_inconclusive("serving", "unseen"));
 }
 
-fn told(best_effort: &str, effect: f64) -> Disturbances {
-    Disturbances {
+fn told(best_effort: &str, effect: f64) -> InterferenceEstimates {
+    InterferenceEstimates {
         version: 7,
-        pairs: vec![Disturbance {
+        pairs: vec![PairInterference {
             serving: "serving".to_owned(),
             best_effort: best_effort.to_owned(),
-            effect,
+            utilization_growth: effect,
         }],
-        ..Disturbances::default()
+        ..InterferenceEstimates::default()
     }
 }
 
 #[test]
-fn adopt_keeps_an_earlier_owners_word_until_judged() {
-    let mut fresh = Interference::new(SETTINGS);
-    fresh.adopt(told("light", 4.0));
-    fresh.settle(STEP, Instant::now());
-    assert_eq!(fresh.known().effect("serving", "light"), 4.0);
+fn adopt_estimates_keeps_an_earlier_owners_word_until_judged() {
+    let mut fresh = InterferenceModel::new(SETTINGS);
+    fresh.adopt_estimates(told("light", 4.0));
+    fresh.update_estimates(STEP, Instant::now());
+    assert_eq!(fresh.estimates().utilization_growth("serving", "light"), 4.0);
     let mut judged = play(1, 10);
-    judged.adopt(Disturbances { version: u64::MAX - 1, ..told("light", 4.0) });
-    judged.settle(STEP, Instant::now());
-    assert!(judged.known().effect("serving", "light") < 0.3, "{:?}", judged.known());
+    judged.adopt_estimates(InterferenceEstimates { version: u64::MAX - 1, ..told("light", 4.0) });
+    judged.update_estimates(STEP, Instant::now());
+    assert!(
+        judged.estimates().utilization_growth("serving", "light") < 0.3,
+        "{:?}",
+        judged.estimates()
+    );
 }
 
 #[parameterized(
@@ -117,13 +124,13 @@
     only_light_images = { &[("a", "x", 0.5), ("b", "x", 0.5)], false },
     nothing_known = { &[], false },
 )]
-fn are_alike(pairs: &[(&str, &str, f64)], expected: bool) {
-    let pair = |(serving, best_effort, effect): &(&str, &str, f64)| Disturbance {
+fn have_same_interferers(pairs: &[(&str, &str, f64)], expected: bool) {
+    let pair = |(serving, best_effort, effect): &(&str, &str, f64)| PairInterference {
         serving: (*serving).to_owned(),
         best_effort: (*best_effort).to_owned(),
-        effect: *effect,
+        utilization_growth: *effect,
     };
     let pairs = pairs.iter().map(pair).collect();
-    let known = Disturbances { pairs, ..Disturbances::default() };
-    assert_eq!(known.are_alike("a", "b"), expected);
+    let known = InterferenceEstimates { pairs, ..InterferenceEstimates::default() };
+    assert_eq!(known.have_same_interferers("a", "b"), expected);
 }
--- a/crates/teaseltrack/tests/pacing.rs
+++ b/crates/teaseltrack/tests/pacing.rs
@@ -6,19 +6,19 @@
 };
 
 use teaseltrack::cell::{
-    interference::{Disturbance, Disturbances},
+    interference::{InterferenceEstimates, PairInterference},
     pacing::{PaceChange, Pacer, PacingSettings},
     protocol::{RunningTask, SharingTraits, TaskName},
 };
 
 const SETTINGS: PacingSettings = PacingSettings {
-    aim: 0.85,
-    newest_weight: 0.4,
-    least_change: 8,
-    least_percent: 6,
-    assumed_share: 0.1,
+    setpoint: 0.85,
+    smoothing_factor: 0.4,
+    min_change_percent: 8,
+    min_percent: 6,
+    default_share: 0.1,
     pause_after: Duration::from_millis(2_000),
-    pause: Duration::from_millis(1_200),
+    pause_duration: Duration::from_millis(1_200),
 };
 const CAPACITY_MILLI: u64 = 64_000;
 
@@ -39,19 +39,19 @@
         is_best_effort: target_tail_ms.is_none(),
         target_tail_ms,
     };
-    pacer.learn(traits(0, "serving", Some(100)));
-    pacer.learn(traits(1, "heavy", None));
-    pacer.learn(traits(2, "light", None));
-    pacer.learn(traits(3, "heavy", None));
-    let pair = |best_effort: &str, effect| Disturbance {
+    pacer.set_traits(traits(0, "serving", Some(100)));
+    pacer.set_traits(traits(1, "heavy", None));
+    pacer.set_traits(traits(2, "light", None));
+    pacer.set_traits(traits(3, "heavy", None));
+    let pair = |best_effort: &str, effect| PairInterference {
         serving: "serving".to_owned(),
         best_effort: best_effort.to_owned(),
-        effect,
+        utilization_growth: effect,
     };
-    pacer.learn_disturbances(Disturbances {
+    pacer.set_estimates(InterferenceEstimates {
         version: 1,
         pairs: vec![pair("heavy", 3.0), pair("light", 0.0)],
-        floors_ms: BTreeMap::from([("serving".to_owned(), 20.0)]),
+        idle_tails_ms: BTreeMap::from([("serving".to_owned(), 20.0)]),
     });
     pacer
 }
@@ -117,6 +117,6 @@
     for change in pacer.observe(&listing, CAPACITY_MILLI, paused_at) {
         pacer.confirm(&change);
     }
-    let changes = pacer.observe(&listing, CAPACITY_MILLI, paused_at + SETTINGS.pause);
+    let changes = pacer.observe(&listing, CAPACITY_MILLI, paused_at + SETTINGS.pause_duration);
     assert_eq!(percents(&changes), [(2, 100)]);
 }
--- a/crates/teaseltrack/tests/sharing.rs
+++ b/crates/teaseltrack/tests/sharing.rs
@@ -14,7 +14,7 @@
     cell::{
         Cell, CellSettings, StoredJob,
         health::HealthSettings,
-        interference::{Disturbance, Disturbances},
+        interference::{InterferenceEstimates, PairInterference},
         job::{JobSpec, Queue, QueueConfiguration, Stage},
         protocol::{
             EndCause, EndedTask, Order, Report, RunningTask, TaskName, WorkerListing, WorkerStatus,
@@ -95,20 +95,20 @@
 
     /// Makes a disturbance known, as agents tell it to a new owner.
     fn learn(&mut self, pairs: &[(&str, &str, f64)]) {
-        let pair = |(serving, best_effort, effect): &(&str, &str, f64)| Disturbance {
+        let pair = |(serving, best_effort, effect): &(&str, &str, f64)| PairInterference {
             serving: (*serving).to_owned(),
             best_effort: (*best_effort).to_owned(),
-            effect: *effect,
+            utilization_growth: *effect,
         };
-        let known = Disturbances {
+        let known = InterferenceEstimates {
             version: 1_000,
             pairs: pairs.iter().map(pair).collect(),
-            floors_ms: BTreeMap::from([("a".to_owned(), 25.0), ("b".to_owned(), 25.0)]),
+            idle_tails_ms: BTreeMap::from([("a".to_owned(), 25.0), ("b".to_owned(), 25.0)]),
         };
         self.exchange(0, Some(known));
     }
 
-    fn exchange(&mut self, index: usize, disturbances: Option<Disturbances>) {
+    fn exchange(&mut self, index: usize, disturbances: Option<InterferenceEstimates>) {
         let instance = &self.instances[index];
         let running = instance.running.iter().map(|(task, attempt)| RunningTask {
             task: task.clone(),
@@ -123,7 +123,7 @@
             session: instance.session,
             status: Some(WorkerStatus {
                 worker: format!("worker-{index}"),
-                born_unix_ms: 1,
+                started_unix_ms: 1,
                 service: "service".to_owned(),
                 capacity: CAPACITY,
                 ..WorkerStatus::default()
@@ -134,8 +134,8 @@
                 running: Some(running.collect()),
                 ended: instance.ended.clone(),
             }),
-            taken_order: instance.taken_order,
-            disturbances,
+            accepted_order: instance.taken_order,
+            interference: disturbances,
             ..Report::default()
         };
         let answer = self.cell.report(report, true, self.now);
--- a/crates/teaseltrack/tests/util.rs
+++ b/crates/teaseltrack/tests/util.rs
@@ -55,9 +55,9 @@
     },
     interference: InterferenceSettings {
         half_life_s: 20.0,
-        longest_step: Duration::from_millis(1_500),
-        ridge: 0.5,
-        least_evidence: 10.0,
-        correlation: 1.5,
+        max_sample_interval: Duration::from_millis(1_500),
+        ridge_penalty: 0.5,
+        min_evidence: 10.0,
+        variance_inflation: 1.5,
     },
 };
