--- a/crates/teaseltrack/src/cell/job.rs
+++ b/crates/teaseltrack/src/cell/job.rs
@@ -1,22 +1,22 @@
-//! Jobs of dependent stages, as callers submit them, and the queues that they are submitted to.
+//! Jobs of dependent stages, and the queues to which they are submitted.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
 use crate::{ids::ServiceName, placement::Resources};
 
-/// Identifier of a job, chosen by its caller.
+/// Identifier of a job, chosen by the caller.
 pub type JobId = String;
 /// Name of a queue.
 pub type QueueName = String;
 
-/// Most tasks of one job; more would not fit into one progress record.
-const MAX_TASKS: u64 = 1_000;
+/// Maximum number of tasks of a job; its state must fit into one progress record.
+const MAX_TASKS_PER_JOB: u64 = 1_000;
 
-/// Why a job can't be accepted.
+/// Reason why a job is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum InvalidJob {
-    /// There is nothing to run.
+    /// The job has no stages.
     #[snafu(display("stages: none"))]
     NoStages,
     /// A stage without tasks.
@@ -25,73 +25,73 @@
         /// Number of the stage.
         stage: usize,
     },
-    /// A stage that waits for itself or a later one.
+    /// A stage that depends on itself or a later stage.
     #[snafu(display("stages.{stage}.after: {dependency} isn't an earlier stage"))]
     BadDependency {
         /// Number of the stage.
         stage: usize,
-        /// What it names.
+        /// Number of the stage that it depends on.
         dependency: usize,
     },
-    /// More tasks than one record holds.
-    #[snafu(display("stages: {task_count} tasks, at most {MAX_TASKS}"))]
+    /// More tasks than fit into a progress record.
+    #[snafu(display("stages: {task_count} tasks, at most {MAX_TASKS_PER_JOB}"))]
     TooManyTasks {
-        /// Tasks of all stages.
+        /// Total number of tasks of all stages.
         task_count: u64,
     },
 }
 
-/// Tasks that run the same thing and wait for the same stages.
+/// A set of identical tasks with common dependencies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Stage {
     /// Number of tasks.
     pub task_count: u32,
-    /// What each task asks for.
+    /// Resources that each task requires.
     pub resources: Resources,
-    /// The caller's guess at a task's run time.
+    /// The caller's estimate of a task's run time.
     pub estimate_ms: u64,
-    /// Stages, all of whose tasks must be done first.
+    /// Stages that must be completed first.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<usize>,
     /// Whether tasks write checkpoints.
     pub is_checkpointing: bool,
-    /// Whether all tasks run together or not at all.
+    /// Whether all tasks must run concurrently (gang scheduling).
     pub is_gang: bool,
-    /// Whether tasks are slower on more than one rack.
+    /// Whether tasks run slower when spread across racks.
     pub is_rack_local: bool,
-    /// Whether copies of a task may run side by side.
+    /// Whether several copies of a task may run at the same time (speculative execution).
     pub is_speculative: bool,
     /// Whether tasks run until the job is cancelled.
     pub is_long_running: bool,
-    /// Whether tasks take only the processor time that others leave.
+    /// Whether tasks use only processor time that other tasks leave idle.
     pub is_best_effort: bool,
-    /// Label that a worker must carry.
+    /// Label that a worker must have.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub required_label: Option<String>,
-    /// Rack that holds the data.
+    /// Rack on which the data is stored.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub data_rack: Option<String>,
-    /// Most tasks on one worker.
+    /// Maximum number of tasks on one worker.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_per_worker: Option<u32>,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run; tasks of one image have the same resource behaviour.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
-    /// Tail latency below which tasks that serve must stay.
+    /// Target below which the tail latency of serving tasks must stay.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub target_tail_ms: Option<u64>,
-    /// Tasks that may be unavailable at a time by the system's own actions.
+    /// Maximum number of tasks that the system itself may make unavailable at the same time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_unavailable: Option<u32>,
 }
 
-/// Runs of all stages at set times.
+/// Schedule of a recurring job; each occurrence runs all stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
     /// Time of the first occurrence, in milliseconds since the Unix epoch.
     pub first_unix_ms: u64,
-    /// Time between two occurrences.
+    /// Interval between two occurrences.
     pub interval_ms: u64,
     /// Number of occurrences.
     pub occurrence_count: u32,
@@ -101,13 +101,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct JobSpec {
-    /// Queue that it was submitted to.
+    /// Queue to which it was submitted.
     pub queue: QueueName,
-    /// What the worker is handed with each task.
+    /// Payload that is passed to the worker with each task.
     pub payload: String,
-    /// The stages; a stage's number is its place here.
+    /// The stages; a stage's number is its index.
     pub stages: Vec<Stage>,
-    /// When it runs, unless at once.
+    /// When the job runs; immediately if `None`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub schedule: Option<Schedule>,
     /// When it was submitted, in milliseconds since the Unix epoch.
@@ -115,11 +115,11 @@
 }
 
 impl JobSpec {
-    /// Checks what a caller sent.
+    /// Validates a submitted job.
     ///
     /// # Errors
     ///
-    /// Names the field that can't be accepted.
+    /// Returns the first invalid field.
     pub fn validate(&self) -> Result<(), InvalidJob> {
         if self.stages.is_empty() {
             return NoStagesSnafu.fail();
@@ -132,9 +132,10 @@
                 return BadDependencySnafu { stage, dependency }.fail();
             }
         }
-        let per_run: u64 = self.stages.iter().map(|stage| u64::from(stage.task_count)).sum();
-        if per_run > MAX_TASKS {
-            return TooManyTasksSnafu { task_count: per_run }.fail();
+        let total_task_count: u64 =
+            self.stages.iter().map(|stage| u64::from(stage.task_count)).sum();
+        if total_task_count > MAX_TASKS_PER_JOB {
+            return TooManyTasksSnafu { task_count: total_task_count }.fail();
         }
         Ok(())
     }
@@ -144,14 +145,15 @@
         self.stages.iter().any(|stage| stage.is_long_running)
     }
 
-    /// Declared run time along the longest chain of stages, in milliseconds.
+    /// Estimated run time of the critical path through the stages, in milliseconds.
     pub fn critical_path_ms(&self) -> u64 {
-        let mut chains: Vec<u64> = Vec::with_capacity(self.stages.len());
+        let mut path_ends_ms: Vec<u64> = Vec::with_capacity(self.stages.len());
         for stage in &self.stages {
-            let before = stage.after.iter().map(|&earlier| chains[earlier]).max().unwrap_or(0);
-            chains.push(before + stage.estimate_ms);
+            let ready_ms =
+                stage.after.iter().map(|&earlier| path_ends_ms[earlier]).max().unwrap_or(0);
+            path_ends_ms.push(ready_ms + stage.estimate_ms);
         }
-        chains.into_iter().max().unwrap_or(0)
+        path_ends_ms.into_iter().max().unwrap_or(0)
     }
 }
 
@@ -159,33 +161,33 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: QueueName,
-    /// Service whose workers run its tasks.
+    /// Service whose workers run the tasks.
     pub service: ServiceName,
-    /// Order among queues; 0 comes first.
+    /// Priority of the queue; 0 is the highest.
     pub priority: u32,
-    /// Failures of one task after which its job has failed.
+    /// Number of failures of one task at which its job fails.
     pub max_attempts: u32,
-    /// Factor on a job's chain of work within which it is in time.
+    /// Factor on the critical path of a job in its completion time objective.
     pub stretch: f64,
-    /// Time on top of the stretched chain, in milliseconds.
+    /// Constant part of the completion time objective, in milliseconds.
     pub objective_ms: u64,
 }
 
-/// The queues in force.
+/// The active queue configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QueueConfiguration {
-    /// Version; only goes up.
+    /// Version, which only increases.
     pub version: u64,
     /// The queues.
     pub queues: Vec<Queue>,
-    /// Services whose workers refuse tasks beyond their capacity by themselves.
+    /// Services whose workers enforce their capacity themselves and refuse excess tasks.
     pub guarded_services: Vec<ServiceName>,
 }
 
 impl QueueConfiguration {
-    /// A queue by its name.
+    /// Returns a queue by name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.iter().find(|queue| queue.name == name)
     }
--- a/crates/teaseltrack/src/cell/ownership.rs
+++ b/crates/teaseltrack/src/cell/ownership.rs
@@ -1,9 +1,9 @@
-//! Who owns a cell.
+//! Ownership of a cell.
 //!
-//! The owner is named in one row, which it rewrites with every commit. A candidate takes the cell
-//! by a transaction on the row's version, once the row hasn't changed for a while. Nothing depends
-//! on that while: agents obey the highest epoch, and an owner grants leases only for a bounded time
-//! after it sent its last successful commit.
+//! One row names the owner, which rewrites it with every commit. Once the row hasn't changed for a
+//! timeout, a candidate takes over the cell by a transaction that is conditional on the row's
+//! version. Safety doesn't depend on the timeout: agents obey the highest epoch, and an owner
+//! grants leases only for a bounded time after sending its last successful commit.
 
 use std::time::{Duration, Instant};
 
@@ -14,57 +14,57 @@
 /// The row that names a cell's owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRecord {
-    /// Ownership period; goes up with each new owner.
+    /// Epoch; increases with each new owner.
     pub epoch: Epoch,
     /// The owner.
     pub owner: InstanceId,
-    /// Address of its inner port.
+    /// Address of the owner's internal port.
     pub address: String,
-    /// Start of its process, in milliseconds since the Unix epoch.
+    /// Start of the owner's process, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
-    /// Commits of the epoch so far.
+    /// Number of commits in the epoch.
     pub sequence: u64,
-    /// Whether the owner has stopped and grants nothing any more.
+    /// Whether the owner has shut down and grants no more leases.
     #[serde(default)]
     pub is_released: bool,
 }
 
-/// Bounds of ownership.
+/// Timing of ownership.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnershipSettings {
-    /// Time without a change of the row after which a candidate takes the cell.
+    /// Time without a change of the row after which a candidate takes over the cell.
     pub takeover_timeout: Duration,
-    /// How long an owner grants leases after it sent its last successful commit.
+    /// Time for which an owner grants leases after sending its last successful commit.
     pub grant_period: Duration,
 }
 
-/// A candidate's view of the owner's row.
+/// Tracks how long the owner's row has been unchanged.
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipMonitor {
-    seen: Option<(u64, Instant)>,
+    last_change: Option<(u64, Instant)>,
 }
 
 impl OwnershipMonitor {
-    /// Takes in the row's version, read at `now`; 0 for no row.
+    /// Records the row's version, read at `now`; 0 if there is no row.
     pub fn observe(&mut self, version: u64, now: Instant) {
-        if self.seen.is_none_or(|(known, _)| known != version) {
-            self.seen = Some((version, now));
+        if self.last_change.is_none_or(|(recorded, _)| recorded != version) {
+            self.last_change = Some((version, now));
         }
     }
 
-    /// Forgets what was seen.
+    /// Discards the observed version.
     pub fn reset(&mut self) {
-        self.seen = None;
+        self.last_change = None;
     }
 
-    /// When the row in force was first seen, if it has stood unchanged for `silence`.
-    pub fn unchanged_since(&self, silence: Duration, now: Instant) -> Option<Instant> {
-        let (_, since) = self.seen?;
-        (now.duration_since(since) >= silence).then_some(since)
+    /// When the current version was first observed, if it has been unchanged for the timeout.
+    pub fn unchanged_since(&self, timeout: Duration, now: Instant) -> Option<Instant> {
+        let (_, since) = self.last_change?;
+        (now.duration_since(since) >= timeout).then_some(since)
     }
 }
 
-/// Delay of a candidate beyond the silence, so that candidates try one after the other.
+/// Delay of a candidate on top of the takeover timeout, so that candidates try in turn.
 pub fn candidate_delay(candidate: &str, version: u64, step: Duration, steps: u64) -> Duration {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(candidate.as_bytes(), version);
     step * (hash % steps.max(1)) as u32
--- a/crates/teaseltrack/src/cell/progress.rs
+++ b/crates/teaseltrack/src/cell/progress.rs
@@ -1,16 +1,17 @@
-//! What a cell's owner commits about a job: which tasks are assigned where, done or failed.
+//! Job state that a cell's owner commits: assignments, completions and failures of tasks.
 //!
-//! An assignment is committed before its start is sent, and an end before the worker is told to
-//! forget it. The records and the workers' lists together tell a new owner everything.
+//! An assignment is committed before the start order is sent, and the end of a run before the
+//! worker may discard it. A new owner can therefore reconstruct the state of the cell from the
+//! committed records and the listings of the workers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::AttemptNumber;
 
-/// One life of a worker: changes whenever the worker has forgotten what it ran.
+/// Identifier of a worker's incarnation; changes whenever the worker has lost its list of runs.
 pub type WorkerIncarnation = String;
 
-/// State of a job towards its caller.
+/// State of a job as shown to its caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
@@ -19,16 +20,16 @@
     Queued,
     /// A task has started.
     Active,
-    /// All tasks are done.
+    /// All tasks have completed.
     Completed,
-    /// A task has failed too often.
+    /// A task has reached the maximum number of failures.
     Failed,
     /// Cancelled by its caller.
     Cancelled,
 }
 
 impl JobState {
-    /// Name in metrics.
+    /// Name of the state in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Queued => "job_queued",
@@ -39,23 +40,23 @@
         }
     }
 
-    /// Whether nothing of the job will ever start again.
+    /// Whether no task of the job can start any more.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
 }
 
-/// Where a task stands.
+/// Phase of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
-    /// To be assigned.
+    /// Waiting for assignment.
     #[default]
     #[serde(rename = "w")]
     Waiting,
-    /// On a worker under the current attempt.
+    /// Assigned to a worker under the current attempt.
     #[serde(rename = "a")]
     Assigned(WorkerIncarnation),
-    /// Done.
+    /// Completed.
     #[serde(rename = "d")]
     Done,
 }
@@ -63,19 +64,19 @@
 /// Committed state of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskProgress {
-    /// Where it stands.
+    /// Current phase.
     #[serde(rename = "p")]
     pub phase: TaskPhase,
     /// Number of the last attempt; 0 before the first.
     #[serde(rename = "n", default, skip_serializing_if = "is_zero")]
     pub attempt: AttemptNumber,
-    /// Number of the last attempt whose end was taken in.
+    /// Number of the last attempt whose end was processed.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero")]
     pub ended_attempt: AttemptNumber,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub failure_count: u32,
-    /// Last known checkpoint; empty for none.
+    /// Last reported checkpoint; empty for none.
     #[serde(rename = "c", default, skip_serializing_if = "String::is_empty")]
     pub checkpoint: String,
 }
@@ -90,9 +91,9 @@
 /// Committed state of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobProgress {
-    /// State towards the caller.
+    /// State as shown to the caller.
     pub state: JobState,
-    /// Occurrences that have begun; empty once the state is final and nothing runs.
+    /// Occurrences that have started; empty once the state is final and no task runs.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub occurrences: Vec<OccurrenceProgress>,
 }
--- a/crates/teaseltrack/src/cell/protocol.rs
+++ b/crates/teaseltrack/src/cell/protocol.rs
@@ -1,8 +1,9 @@
-//! What agents and their cell's owner tell each other.
+//! Messages between agents and their cell's owner.
 //!
-//! An agent reports what its worker runs and how runs ended; the owner answers with the lease and
-//! with orders. The session number is the fencing token of the worker's calls: each new session of
-//! an agent, and each new owner, has a higher one, which voids whatever was sent under a lower.
+//! An agent reports the runs of its worker and how runs ended; the owner responds with the lease
+//! and with orders. The session number is the fencing token of calls to the worker: each new
+//! session of an agent and each new owner uses a higher number, which invalidates all calls sent
+//! under a lower one.
 
 use std::fmt;
 
@@ -14,10 +15,10 @@
     placement::Resources,
 };
 
-/// Fencing token of an agent's session; only goes up for one worker.
+/// Fencing token of an agent's session; only increases for a worker.
 pub type SessionToken = u64;
 
-/// A task by its job, occurrence, stage and place in the stage.
+/// Identifies a task by its job, occurrence, stage and index in the stage.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskName {
     /// The job.
@@ -26,7 +27,7 @@
     pub occurrence: u32,
     /// Number of the stage, from 0.
     pub stage: u32,
-    /// Place in the stage, from 0.
+    /// Index in the stage, from 0.
     pub index: u32,
 }
 
@@ -36,30 +37,30 @@
     }
 }
 
-/// What a worker says of itself.
+/// State that a worker announces.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerStatus {
-    /// Its identifier; may outlive a crash.
+    /// Identifier of the worker; may stay the same after a crash.
     pub worker: String,
-    /// Start of its present life, in milliseconds since the Unix epoch.
+    /// Start of the current incarnation, in milliseconds since the Unix epoch.
     #[serde(rename = "born_unix_ms")]
     pub started_unix_ms: u64,
-    /// Service whose tasks it runs.
+    /// Service whose tasks the worker runs.
     pub service: ServiceName,
     /// Availability zone.
     pub zone: ZoneName,
-    /// What it offers to tasks.
+    /// Resources available to tasks.
     pub capacity: Resources,
-    /// Kind and rack.
+    /// Labels for the kind and the rack of the worker.
     pub labels: Vec<String>,
-    /// Whether it is about to leave.
+    /// Whether the worker is about to shut down.
     pub is_draining: bool,
-    /// Least time until it leaves, if it is about to.
+    /// Minimum time until shutdown, if draining.
     pub remaining_ms: Option<u64>,
 }
 
 impl WorkerStatus {
-    /// Name of the worker's present life.
+    /// Identifier of the current incarnation.
     pub fn incarnation(&self) -> WorkerIncarnation {
         format!("{}@{}", self.worker, self.started_unix_ms)
     }
@@ -74,32 +75,32 @@
     pub attempt: AttemptNumber,
     /// Last checkpoint; empty for none.
     pub checkpoint: String,
-    /// Share of the work that is done; for long-running tasks 100 while at work.
+    /// Completed share of the work; always 100 for active long-running tasks.
     pub percent: u32,
-    /// Tail latency in milliseconds of a serving task, else processor use in thousandths of a core.
+    /// Tail latency in milliseconds for serving tasks, otherwise processor use in millicores.
     pub gauge: u64,
 }
 
-/// How a run ended.
+/// Cause of the end of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndCause {
-    /// The task is done.
+    /// The task completed.
     Done,
-    /// By its own or the worker's fault.
+    /// The task or its worker failed.
     Failed,
-    /// Stopped on order.
+    /// Stopped by a stop order.
     Stopped,
-    /// The worker's lease ran out.
+    /// The worker's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The others of its gang didn't come.
+    /// The other members of its gang didn't start.
     Alone,
 }
 
 impl EndCause {
-    /// Name in metrics.
+    /// Name of the cause in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Done => "run_done",
@@ -112,134 +113,134 @@
     }
 }
 
-/// An end that a worker lists until it is told to forget it.
+/// End of a run, which a worker lists until the owner has acknowledged it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedTask {
-    /// Number of the end within the worker's life, from 1.
+    /// Number of the end within the worker's incarnation, from 1.
     pub number: u64,
     /// The task.
     pub task: TaskName,
     /// Its attempt.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// Cause of the end.
     pub cause: EndCause,
     /// Last checkpoint; empty for none.
     pub checkpoint: String,
 }
 
-/// Outcome of a start order that left nothing running.
+/// A start order that didn't start a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedStart {
     /// The task.
     pub task: TaskName,
-    /// The attempt, which can never start any more.
+    /// The attempt, which can no longer start.
     pub attempt: AttemptNumber,
-    /// Why.
+    /// Reason for the refusal.
     pub reason: String,
 }
 
-/// What a worker runs and has ended, as of one answer.
+/// Current runs and ended runs of a worker, from one response.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerListing {
-    /// All runs; `None` where only ends are reported.
+    /// All current runs; `None` if only ends are reported.
     pub running: Option<Vec<RunningTask>>,
-    /// Ends that aren't forgotten yet.
+    /// Ends that haven't been acknowledged yet.
     pub ended: Vec<EndedTask>,
 }
 
-/// What an agent tells the owner.
+/// Report of an agent to the owner.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The agent.
     pub agent: InstanceId,
-    /// Start of the agent's process, in milliseconds since the Unix epoch; tells its lives apart.
+    /// Start of the agent's process, in milliseconds since the Unix epoch; distinguishes restarts.
     pub started_unix_ms: u64,
-    /// Address of its inner port.
+    /// Address of the agent's internal port.
     pub address: String,
-    /// Session under which the worker was last heard; 0 before the first.
+    /// Session of the last response from the worker; 0 before the first.
     pub session: SessionToken,
-    /// The worker; `None` while none has registered.
+    /// Status of the worker; `None` until one has registered.
     pub status: Option<WorkerStatus>,
-    /// The worker's clock when it last answered.
+    /// The worker's clock at its last response.
     pub worker_clock_ms: u64,
-    /// Whether the worker answers calls.
+    /// Whether the worker responds to calls.
     pub is_worker_reachable: bool,
-    /// What the worker listed under the session.
+    /// Last listing of the worker under the session.
     pub listing: Option<WorkerListing>,
-    /// Starts that left nothing running.
+    /// Start orders that didn't start a run.
     pub refused: Vec<RefusedStart>,
-    /// Last order that was taken.
+    /// Number of the last accepted order.
     #[serde(rename = "taken_order")]
     pub accepted_order: u64,
-    /// Ends that the worker was told to forget, up to this number.
+    /// Number up to which the worker was allowed to discard ends.
     pub forgot_until: u64,
-    /// Version of the disturbances that it knows.
+    /// Version of the interference estimates that the agent has.
     #[serde(rename = "disturbances_version")]
     pub interference_version: u64,
-    /// The disturbances themselves, in the first full report of a session.
+    /// The agent's interference estimates, in the first full report of a session.
     #[serde(rename = "disturbances")]
     pub interference: Option<InterferenceEstimates>,
-    /// How long to wait for orders, in milliseconds.
+    /// Maximum time to wait for orders, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// A task that is to start.
+/// Order to start a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartOrder {
     /// The task.
     pub task: TaskName,
     /// The committed attempt.
     pub attempt: AttemptNumber,
-    /// What the worker is handed.
+    /// Payload that is passed to the worker.
     pub payload: String,
     /// Checkpoint to resume from; empty for none.
     pub checkpoint: String,
 }
 
-/// How a task shares its worker, for the agent's pacing.
+/// Properties of a task that the agent needs for pacing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SharingTraits {
     /// The task.
     pub task: TaskName,
-    /// What it runs; tasks of one image behave alike.
+    /// Image that the task runs; tasks of one image have the same resource behaviour.
     pub image: Option<String>,
-    /// Whether it takes only what others leave.
+    /// Whether the task uses only what other tasks leave idle.
     pub is_best_effort: bool,
-    /// Tail latency below which it must stay.
+    /// Target below which the task's tail latency must stay.
     pub target_tail_ms: Option<u64>,
 }
 
-/// What an agent is told to do.
+/// Order to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Order {
     /// Start a task.
     Start(StartOrder),
     /// Stop a run.
     Stop(TaskName, AttemptNumber),
-    /// How a task shares its worker.
+    /// Set the properties of a task for pacing.
     Traits(SharingTraits),
 }
 
-/// The owner's answer to a report.
+/// Response of the owner to a report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReportResponse {
-    /// Epoch of the answering owner; 0 if the answering process owns nothing.
+    /// Epoch of the responding owner; 0 if the responding process owns no cell.
     pub epoch: Epoch,
-    /// Session to go on with.
+    /// Session to continue with.
     pub session: SessionToken,
-    /// End of the worker's lease on the worker's own clock; `None` if none may be granted.
+    /// End of the worker's lease on the worker's clock; `None` if no lease may be granted.
     pub lease_until_ms: Option<u64>,
-    /// Ends that the worker is to forget, up to this number.
+    /// Number up to which the worker may discard ends.
     pub forget_until: u64,
-    /// Orders after the last one taken, with the number of the first.
+    /// Number of the first order in `orders`.
     pub first_order: u64,
-    /// The orders.
+    /// Orders that the agent hasn't accepted yet.
     pub orders: Vec<Order>,
-    /// Known disturbances, if the agent knows another version.
+    /// Current interference estimates, if the agent has a different version.
     #[serde(rename = "disturbances")]
     pub interference: Option<InterferenceEstimates>,
-    /// Whether the owner has been without the store for long.
+    /// Whether the owner hasn't reached the store for an extended time.
     pub is_store_lost: bool,
-    /// Address of the owner that the answering process knows of.
+    /// Address of the owner, if the responding process has it.
     pub owner_address: Option<String>,
 }
--- a/crates/teaseltrack/src/cell/tail_model.rs
+++ b/crates/teaseltrack/src/cell/tail_model.rs
@@ -1,45 +1,46 @@
-//! How best-effort tasks lengthen a serving task's tail.
+//! Model of the effect of best-effort tasks on a serving task's tail latency.
 //!
-//! A serving task is taken for a queue: with the tail `floor` when it idles and the utilization `q`,
-//! its tail is `floor / (1 - q)`. A best-effort image slows its work, so that the utilization grows
-//! by a factor of one and the image's effect times the share of the worker that it uses. A task
-//! near its load's peak therefore suffers far more than an idle one.
+//! A serving task is modelled as a queue: with the idle tail `t` and the utilization `q`, its tail
+//! is `t / (1 - q)`. A best-effort image slows its work, so that the utilization is multiplied by
+//! 1 + `growth` * `share`, where `share` is the share of the worker that the image uses and
+//! `growth` is specific to the pair of images. The same interference therefore lengthens the tail
+//! far more near peak load than near idle.
 
 use serde::{Deserialize, Serialize};
 
-/// Least utilization that is told from an idle task; tails are rough figures.
-const LEAST_UTILIZATION: f64 = 0.1;
-/// Highest utilization: beyond it a tail says nothing about how far the task is overloaded.
-const MOST_UTILIZATION: f64 = 0.98;
+/// Minimum utilization; tails are too noisy to distinguish lower values from an idle task.
+const MIN_UTILIZATION: f64 = 0.1;
+/// Maximum utilization; longer tails don't show how far the task is overloaded.
+const MAX_UTILIZATION: f64 = 0.98;
 
-/// Utilization from which on a task is swamped: it can't tell by how much.
+/// Utilization from which a task counts as saturated: its tail no longer shows by how much.
 pub const SATURATED_UTILIZATION: f64 = 0.95;
-/// Noise of a tail, as a share, on traced days without best-effort work.
+/// Relative noise of a tail without best-effort tasks.
 const TAIL_NOISE: f64 = 0.06;
-/// Tails come in whole milliseconds.
-const TAIL_RESOLUTION_MS: f64 = 0.5;
+/// Rounding error of tails, which are reported in whole milliseconds.
+const TAIL_ROUNDING_MS: f64 = 0.5;
 
-/// A serving task's tail against its bounds, in milliseconds.
+/// Tail latency of a serving task with its bounds, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tail {
-    /// The tail.
+    /// Current tail.
     pub tail_ms: f64,
-    /// Tail of an idle task of the image.
+    /// Tail of an idle task of the same image.
     #[serde(rename = "floor_ms")]
     pub idle_tail_ms: f64,
-    /// Tail that it must stay below.
+    /// Target below which the tail must stay.
     pub target_ms: f64,
 }
 
 impl Tail {
-    /// Utilization that the tail stands for.
+    /// Utilization that corresponds to the tail.
     pub fn utilization(&self) -> f64 {
         utilization(self.idle_tail_ms, self.tail_ms)
     }
 
-    /// Utilization at a share of the target.
-    pub fn utilization_at(&self, share_of_target: f64) -> f64 {
-        utilization(self.idle_tail_ms, share_of_target * self.target_ms)
+    /// Utilization that corresponds to a tail at the given share of the target.
+    pub fn utilization_at(&self, target_share: f64) -> f64 {
+        utilization(self.idle_tail_ms, target_share * self.target_ms)
     }
 
     /// Whether the tail is over its target.
@@ -48,12 +49,12 @@
     }
 }
 
-/// Utilization at which a task of the floor has the tail.
+/// Utilization that corresponds to a tail, given the idle tail.
 pub fn utilization(idle_tail_ms: f64, tail_ms: f64) -> f64 {
-    (1.0 - idle_tail_ms / tail_ms.max(1e-3)).clamp(LEAST_UTILIZATION, MOST_UTILIZATION)
+    (1.0 - idle_tail_ms / tail_ms.max(1e-3)).clamp(MIN_UTILIZATION, MAX_UTILIZATION)
 }
 
-/// Noise of a utilization that comes from a tail.
+/// Standard deviation of a utilization derived from a tail.
 pub fn utilization_noise(utilization: f64, tail_ms: f64) -> f64 {
-    (1.0 - utilization) * TAIL_NOISE.hypot(TAIL_RESOLUTION_MS / tail_ms)
+    (1.0 - utilization) * TAIL_NOISE.hypot(TAIL_ROUNDING_MS / tail_ms)
 }
--- a/crates/teaseltrack/tests/pacing.rs
+++ b/crates/teaseltrack/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Pacing of best-effort tasks beside a tail that is near its target.
+//! Pacing of best-effort tasks that are colocated with a serving task.
 
 use std::{
     collections::BTreeMap,
@@ -30,7 +30,8 @@
     RunningTask { task: task(index), attempt: 1, checkpoint: String::new(), percent: 50, gauge }
 }
 
-/// Serves with a target of 100 ms and 20 ms when idle, beside a heavy and a light image.
+/// A controller for a serving task with a target of 100 ms and an idle tail of 20 ms that is
+/// colocated with a heavy and a light image.
 fn pacer() -> Pacer {
     let mut pacer = Pacer::new(SETTINGS);
     let traits = |index, image: &str, target_tail_ms: Option<u64>| SharingTraits {
@@ -43,10 +44,10 @@
     pacer.set_traits(traits(1, "heavy", None));
     pacer.set_traits(traits(2, "light", None));
     pacer.set_traits(traits(3, "heavy", None));
-    let pair = |best_effort: &str, effect| PairInterference {
+    let pair = |best_effort: &str, growth| PairInterference {
         serving: "serving".to_owned(),
         best_effort: best_effort.to_owned(),
-        utilization_growth: effect,
+        utilization_growth: growth,
     };
     pacer.set_estimates(InterferenceEstimates {
         version: 1,
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn observe_slows_only_the_image_that_disturbs() {
+fn observe_slows_only_the_interfering_image() {
     let mut pacer = pacer();
     let listing = [running(0, 99), running(1, 12_800), running(2, 12_800)];
     let changes = pacer.observe(&listing, CAPACITY_MILLI, Instant::now());
@@ -71,18 +72,18 @@
 }
 
 #[test]
-fn observe_leaves_all_alone_far_below_the_target() {
+fn observe_changes_no_pace_far_below_the_target() {
     let mut pacer = pacer();
     let listing = [running(0, 24), running(1, 6_400), running(2, 6_400)];
     assert!(pacer.observe(&listing, CAPACITY_MILLI, Instant::now()).is_empty());
 }
 
-/// Pattern: two tasks of one image, of which the serving task bears one and a bit.
+/// The headroom covers one of two tasks of the same image and part of the other.
 #[test]
-fn observe_runs_the_furthest_task_at_full_pace_first() {
+fn observe_keeps_the_task_closest_to_completion_at_full_pace() {
     let mut pacer = pacer();
-    let ahead = RunningTask { percent: 80, ..running(3, 6_400) };
-    let listing = [running(0, 95), running(1, 6_400), ahead];
+    let nearly_done = RunningTask { percent: 80, ..running(3, 6_400) };
+    let listing = [running(0, 95), running(1, 6_400), nearly_done];
     let changes = pacer.observe(&listing, CAPACITY_MILLI, Instant::now());
     let changed = percents(&changes);
     assert_eq!(changed.len(), 1, "{changes:?}");
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn observe_stops_what_disturbs_at_once_when_a_tail_is_over_its_target() {
+fn observe_stops_the_interfering_image_immediately_when_a_tail_is_over_its_target() {
     let mut pacer = pacer();
     let listing = [running(0, 120), running(1, 6_400), running(2, 6_400)];
     let changes = pacer.observe(&listing, CAPACITY_MILLI, Instant::now());
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn observe_pauses_all_when_a_tail_stays_over_its_target() {
+fn observe_pauses_all_images_when_a_tail_stays_over_its_target() {
     let mut pacer = pacer();
     let start = Instant::now();
     let listing = [running(0, 150), running(2, 6_400)];
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn observe_resumes_when_the_pause_did_not_help() {
+fn observe_resumes_when_the_pause_has_not_helped() {
     let mut pacer = pacer();
     let start = Instant::now();
     let listing = [running(0, 150), running(2, 6_400)];
