--- a/crates/teaseltrack/src/cell/pacing.rs
+++ b/crates/teaseltrack/src/cell/pacing.rs
@@ -185,8 +185,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// Starts a pause when a tail has been over its target for too long; ends it on expiry or when no
-    /// tail is over its target any more.
+    /// Starts a pause when a tail has been over its target for too long; ends it on expiry or once
+    /// no tail is over its target.
     fn update_pause(&mut self, now: Instant) {
         if let Some(until) = self.paused_until {
             if self.tail_to_target <= 1.0 || now >= until {
