--- a/crates/teaseltrack-wire/src/cell.rs
+++ b/crates/teaseltrack-wire/src/cell.rs
@@ -3,7 +3,7 @@
 use teaseltrack::cell::{
     job::{JobId, QueueName},
     progress::JobState,
-    protocol::{Report, ReportAnswer},
+    protocol::{Report, ReportResponse},
 };
 
 /// Maximum size of a message, in bytes.
@@ -24,7 +24,7 @@
 #[tarpc::service]
 pub trait CellControl {
     /// Accepts an agent's report and returns orders for the agent.
-    async fn report(report: Report) -> ReportAnswer;
+    async fn report(report: Report) -> ReportResponse;
     /// Returns the state of a job.
     async fn job_state(job: JobId) -> JobLookup;
     /// Returns the number of jobs of a queue without a started task; `None` from a process that
