--- a/crates/teaseltrack-cell/src/constants.rs
+++ b/crates/teaseltrack-cell/src/constants.rs
@@ -80,28 +80,28 @@
 const PLANNING: PlanningSettings = PlanningSettings {
     batch_reserve: 0.06,
     reserve_wait: Duration::from_millis(1_000),
-    serving_load: 0.55,
-    best_effort_floor: 0.5,
-    tail_aim: 0.75,
-    tasks_on_trial: 2,
+    serving_utilization: 0.55,
+    best_effort_min_share: 0.5,
+    tail_limit: 0.75,
+    trial_tasks_per_worker: 2,
     starvation_wait: Duration::from_millis(1_500),
-    starvation_load: 0.6,
+    starvation_max_load: 0.6,
     regroup_interval: Duration::from_millis(1_000),
-    rest_after_move: Duration::from_secs(20),
-    arrival_time: Duration::from_millis(1_000),
-    size_handicap: 20.0,
-    hopeless_factor: 3.0,
+    move_cooldown: Duration::from_secs(20),
+    usage_report_delay: Duration::from_millis(1_000),
+    remaining_work_weight: 20.0,
+    long_overdue_factor: 3.0,
 };
 
 /// Failures by a task's own fault are rare, so three in a row are the worker's. A run reports
 /// progress several times a second.
 const HEALTH: HealthSettings = HealthSettings {
-    failures_in_row: 3,
+    max_consecutive_failures: 3,
     probation: Duration::from_millis(3_000),
-    stall: Duration::from_millis(2_000),
-    slowness_weight: 0.3,
-    slowness_half_life_s: 4.0,
-    avoided_slowness: 2.0,
+    stall_timeout: Duration::from_millis(2_000),
+    slowdown_weight: 0.3,
+    slowdown_half_life_s: 4.0,
+    slowdown_threshold: 2.0,
 };
 
 /// Disturbance shifts within tens of seconds. Reports overlap in the half second that a tail is
@@ -120,8 +120,8 @@
         lease: MAX_LEASE.min(max_lease),
         clock_drift: CLOCK_DRIFT,
         lease_margin: LEASE_MARGIN,
-        agent_silence: AGENT_SILENCE,
-        refusal_pause: REFUSAL_PAUSE,
+        agent_timeout: AGENT_SILENCE,
+        refusal_backoff: REFUSAL_PAUSE,
         health: HEALTH,
         planning: PLANNING,
         interference: INTERFERENCE,
--- a/crates/teaseltrack-cell/src/owner.rs
+++ b/crates/teaseltrack-cell/src/owner.rs
@@ -200,14 +200,14 @@
                     self.renewed_at = committer.renewed_at;
                     let commit_time = self.context.clock.now().duration_since(self.renewed_at);
                     self.context.metrics.time("commit", commit_time);
-                    self.cell.committed();
+                    self.cell.commit_succeeded();
                     idle = Some(committer);
                 }
                 _ = ticks.tick() => self.cell.tick(self.context.clock.now()),
                 Ok(()) = inboxes.configuration.changed() => {
                     let in_force = inboxes.configuration.borrow_and_update().as_deref().cloned();
                     if let Some(in_force) = in_force {
-                        self.cell.configure(in_force);
+                        self.cell.apply_configuration(in_force);
                     }
                 }
                 () = closing.cancelled(), if !self.is_stopping => self.is_stopping = true,
@@ -258,7 +258,7 @@
         let wait = Duration::from_millis(report.wait_ms);
         let (agent, session) = (report.agent.clone(), report.session);
         let (taken_order, forgot_until) = (report.accepted_order, report.forgot_until);
-        let mut answer = self.cell.report(report, may_grant, now);
+        let mut answer = self.cell.handle_report(report, may_grant, now);
         answer.is_store_lost = self.is_store_lost(now);
         let has_news = !answer.orders.is_empty()
             || answer.forget_until > forgot_until
@@ -275,7 +275,7 @@
             lease_until_ms: answer.lease_until_ms,
         };
         if let Some(earlier) = self.parked.insert(agent.clone(), parked) {
-            drop(earlier.reply.send(self.cell.news(&agent)));
+            drop(earlier.reply.send(self.cell.pending_update(&agent)));
         }
     }
 
@@ -333,13 +333,13 @@
             .filter(|(agent, parked)| {
                 parked.answer_by <= now
                     || is_store_lost
-                    || cell.has_news(agent, parked.taken_order, parked.forgot_until)
+                    || cell.has_pending_update(agent, parked.taken_order, parked.forgot_until)
             })
             .map(|(agent, _)| agent.clone())
             .collect();
         for agent in ready {
             let Some(parked) = self.parked.remove(&agent) else { continue };
-            let mut answer = self.cell.news(&agent);
+            let mut answer = self.cell.pending_update(&agent);
             answer.lease_until_ms = parked.lease_until_ms;
             answer.is_store_lost = is_store_lost;
             drop(parked.reply.send(answer));
@@ -369,7 +369,7 @@
                     info!(logger, "serving task is moved"; "request_id" => &task.job,
                         "task" => %task, "attempt" => attempt, "worker" => worker);
                 }
-                CellEvent::TakenBack { task, attempt, worker, reason } => {
+                CellEvent::Reclaimed { task, attempt, worker, reason } => {
                     info!(logger, "task taken back"; "request_id" => &task.job, "task" => %task,
                         "attempt" => attempt, "worker" => worker, "reason" => reason);
                 }
--- a/crates/teaseltrack/src/cell.rs
+++ b/crates/teaseltrack/src/cell.rs
@@ -73,9 +73,9 @@
     /// Added to every wait for the end of a lease.
     pub lease_margin: Duration,
     /// Silence of an agent after which its worker gets no new tasks.
-    pub agent_silence: Duration,
+    pub agent_timeout: Duration,
     /// Pause of placement on a worker after it refused a start.
-    pub refusal_pause: Duration,
+    pub refusal_backoff: Duration,
     /// How workers are judged by what they run.
     pub health: health::HealthSettings,
     /// How planning shares workers.
@@ -86,7 +86,7 @@
 
 impl CellSettings {
     /// A granted lease by true time, on the slowest clock.
-    pub fn slowest_lease(&self) -> Duration {
+    pub fn worst_case_lease(&self) -> Duration {
         self.lease.mul_f64(1.0 + self.clock_drift) + self.lease_margin
     }
 }
@@ -214,7 +214,7 @@
         worker: WorkerIncarnation,
     },
     /// A task was taken back from a worker without an end.
-    TakenBack {
+    Reclaimed {
         /// The task.
         task: TaskName,
         /// Its attempt.
@@ -250,7 +250,7 @@
             Self::Ended { cause, .. } => cause.name(),
             Self::Stalled { .. } => "stalled",
             Self::Moved { .. } => "moved",
-            Self::TakenBack { .. } => "taken_back",
+            Self::Reclaimed { .. } => "taken_back",
             Self::State { state, .. } => state.name(),
             Self::Session { .. } => "session",
         }
@@ -290,7 +290,7 @@
         foreign_grants_end: Instant,
     ) -> Self {
         Self {
-            foreign_leases_end: foreign_grants_end + settings.slowest_lease(),
+            foreign_leases_end: foreign_grants_end + settings.worst_case_lease(),
             interference: InterferenceModel::new(settings.interference),
             settled_at: None,
             regrouped_at: None,
@@ -326,7 +326,7 @@
     }
 
     /// Puts a newer configuration in force; an older one is ignored.
-    pub fn configure(&mut self, configuration: QueueConfiguration) {
+    pub fn apply_configuration(&mut self, configuration: QueueConfiguration) {
         if configuration.version <= self.configuration.version {
             return;
         }
@@ -407,7 +407,12 @@
     /// Takes in an agent's report and answers it.
     ///
     /// `may_grant` is whether the owner may still grant leases.
-    pub fn report(&mut self, report: Report, may_grant: bool, now: Instant) -> ReportResponse {
+    pub fn handle_report(
+        &mut self,
+        report: Report,
+        may_grant: bool,
+        now: Instant,
+    ) -> ReportResponse {
         let mut answer = ReportResponse { epoch: self.epoch, ..ReportResponse::default() };
         let Some(status) = report.status else { return answer };
         let Some(key) = self.attach(&report.agent, status, now) else { return answer };
@@ -449,7 +454,7 @@
     }
 
     /// Whether the agent's worker has orders that weren't taken, or ends to be forgotten.
-    pub fn has_news(&self, agent: &str, taken_order: u64, forgot_until: u64) -> bool {
+    pub fn has_pending_update(&self, agent: &str, taken_order: u64, forgot_until: u64) -> bool {
         self.by_agent.get(agent).is_some_and(|key| {
             let worker = &self.workers[*key];
             let next_order = worker.first_order + worker.orders.len() as u64;
@@ -458,7 +463,7 @@
     }
 
     /// An answer to a report that was answered before, with what has come since.
-    pub fn news(&self, agent: &str) -> ReportResponse {
+    pub fn pending_update(&self, agent: &str) -> ReportResponse {
         let mut answer = ReportResponse { epoch: self.epoch, ..ReportResponse::default() };
         let Some(worker) = self.by_agent.get(agent).map(|key| &self.workers[*key]) else {
             return answer;
@@ -508,7 +513,7 @@
             }
         }
         let known = self.interference.estimates();
-        let aim = self.settings.planning.tail_aim;
+        let aim = self.settings.planning.tail_limit;
         let mut headrooms = BTreeMap::new();
         for (_, image, tail_ms, target_ms) in &tails {
             let tail_ms = *tail_ms as f64;
@@ -563,7 +568,7 @@
     }
 
     /// Releases what waited for the commit in flight, which took effect.
-    pub fn committed(&mut self) {
+    pub fn commit_succeeded(&mut self) {
         let Some(effects) = self.pending.take() else { return };
         for (key, state) in effects.states {
             self.jobs[key].committed_state = state;
@@ -703,7 +708,7 @@
         now: Instant,
         answer: &mut ReportResponse,
     ) {
-        let slowest_lease = self.settings.slowest_lease();
+        let worst_case_lease = self.settings.worst_case_lease();
         let worker = &mut self.workers[key];
         if !may_grant || worker_clock_ms == 0 {
             return;
@@ -711,7 +716,7 @@
         answer.lease_until_ms = Some(worker_clock_ms + self.settings.lease.as_millis() as u64);
         if worker_clock_ms > worker.clock_ms {
             worker.clock_ms = worker_clock_ms;
-            let end = now + slowest_lease;
+            let end = now + worst_case_lease;
             worker.lease_end = Some(worker.lease_end.map_or(end, |known| known.max(end)));
         }
     }
@@ -872,7 +877,7 @@
         if !is_current {
             return;
         }
-        self.workers[key].refused_until = Some(now + self.settings.refusal_pause);
+        self.workers[key].refused_until = Some(now + self.settings.refusal_backoff);
         self.take_back(task_key, &refused.reason);
         self.settle(task_key.job);
     }
@@ -904,7 +909,7 @@
         let attempt = task.progress.attempt;
         let Some(run) = task.run.as_ref() else { return };
         let worker = self.workers.get(run.worker).map(|worker| worker.life.clone());
-        self.events.push(CellEvent::TakenBack {
+        self.events.push(CellEvent::Reclaimed {
             task: name,
             attempt,
             worker: worker.unwrap_or_default(),
--- a/crates/teaseltrack/src/cell/health.rs
+++ b/crates/teaseltrack/src/cell/health.rs
@@ -16,17 +16,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HealthSettings {
     /// Failures in a row after which a worker gets no new tasks.
-    pub failures_in_row: u32,
+    pub max_consecutive_failures: u32,
     /// How long it then gets none; one more failure repeats it.
     pub probation: Duration,
     /// Time without progress after which a run is stopped.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// Weight of the newest run in a worker's slowness.
-    pub slowness_weight: f64,
+    pub slowdown_weight: f64,
     /// Time after which slowness counts half, in seconds.
-    pub slowness_half_life_s: f64,
+    pub slowdown_half_life_s: f64,
     /// Slowness beyond which other workers are preferred.
-    pub avoided_slowness: f64,
+    pub slowdown_threshold: f64,
 }
 
 impl Run {
@@ -40,8 +40,8 @@
         self.gauge = listed.gauge;
     }
 
-    fn is_stalled(&self, stall: Duration, now: Instant) -> bool {
-        let stands = self.moved_at.is_some_and(|moved_at| now.duration_since(moved_at) >= stall);
+    fn is_stalled(&self, timeout: Duration, now: Instant) -> bool {
+        let stands = self.moved_at.is_some_and(|moved_at| now.duration_since(moved_at) >= timeout);
         stands && self.is_listed && !self.is_stopping
     }
 }
@@ -62,13 +62,13 @@
                     task.avoided = Some(key);
                 }
                 let worker = &mut self.workers[key];
-                worker.failures_in_row += 1;
-                if worker.failures_in_row >= settings.failures_in_row {
+                worker.consecutive_failures += 1;
+                if worker.consecutive_failures >= settings.max_consecutive_failures {
                     worker.refused_until = Some(now + settings.probation);
                 }
             }
             EndCause::Done => {
-                self.workers[key].failures_in_row = 0;
+                self.workers[key].consecutive_failures = 0;
                 self.compare_run_time(key, task_key, now);
             }
             EndCause::Stopped | EndCause::Lapsed | EndCause::Broken | EndCause::Alone => {}
@@ -79,7 +79,7 @@
         if self.stage(task_key).is_best_effort {
             return;
         }
-        let weight = self.settings.health.slowness_weight;
+        let weight = self.settings.health.slowdown_weight;
         let Some(task) = self.task_mut(task_key) else { return };
         let listed_at = task.run.as_ref().and_then(|run| run.listed_at);
         let Some(run_time) = listed_at.map(|listed_at| now.duration_since(listed_at)) else {
@@ -107,7 +107,7 @@
 
     /// Stops runs that stand still although nothing holds them back.
     pub(super) fn stop_stalled_runs(&mut self, now: Instant) {
-        let stall = self.settings.health.stall;
+        let stall = self.settings.health.stall_timeout;
         let stalled: Vec<TaskKey> = self
             .workers
             .values()
@@ -135,7 +135,7 @@
 
     /// Lets slowness fade, so that a worker that has recovered gets tasks again.
     pub(super) fn forget_slowness(&mut self, elapsed: Duration) {
-        let half_life_s = self.settings.health.slowness_half_life_s;
+        let half_life_s = self.settings.health.slowdown_half_life_s;
         let factor = 0.5_f64.powf(elapsed.as_secs_f64() / half_life_s);
         for worker in self.workers.values_mut() {
             worker.slowness = 1.0 + (worker.slowness - 1.0) * factor;
--- a/crates/teaseltrack/src/cell/planning.rs
+++ b/crates/teaseltrack/src/cell/planning.rs
@@ -31,28 +31,28 @@
     /// Wait after which a long-running task takes the reserve as well.
     pub reserve_wait: Duration,
     /// Share of their declared processors that long-running tasks are taken to use.
-    pub serving_load: f64,
+    pub serving_utilization: f64,
     /// Share of its declared processors that a best-effort task must find before it starts.
-    pub best_effort_floor: f64,
+    pub best_effort_min_share: f64,
     /// Share of its target that no tail is to pass when a best-effort task arrives.
-    pub tail_aim: f64,
+    pub tail_limit: f64,
     /// Tasks on one worker of an image that may disturb what serves there.
-    pub tasks_on_trial: u32,
+    pub trial_tasks_per_worker: u32,
     /// Wait after which a best-effort job with nothing running gets a task in spite of tails.
     pub starvation_wait: Duration,
     /// Share of a service's processors held by tasks above which it doesn't.
-    pub starvation_load: f64,
+    pub starvation_max_load: f64,
     /// Time between two moves of serving tasks.
     pub regroup_interval: Duration,
     /// Time before a serving task is moved again.
-    pub rest_after_move: Duration,
+    pub move_cooldown: Duration,
     /// Time after which an assigned best-effort task shows in its worker's reports.
-    pub arrival_time: Duration,
+    pub usage_report_delay: Duration,
     /// Head start of best-effort jobs with little left, in times of what the whole fleet needs for
     /// what is left.
-    pub size_handicap: f64,
+    pub remaining_work_weight: f64,
     /// Factor on a job's objective after which it is served last.
-    pub hopeless_factor: f64,
+    pub long_overdue_factor: f64,
 }
 
 /// Order of kinds of task; lower goes first.
@@ -151,9 +151,9 @@
     }
 
     fn forget_arrivals(&mut self, now: Instant) {
-        let arrival_time = self.settings.planning.arrival_time;
+        let usage_report_delay = self.settings.planning.usage_report_delay;
         for worker in self.workers.values_mut() {
-            worker.arriving.retain(|arrival| now.duration_since(arrival.at) < arrival_time);
+            worker.arriving.retain(|arrival| now.duration_since(arrival.at) < usage_report_delay);
         }
     }
 
@@ -216,7 +216,7 @@
             worker.is_confirmed
                 && worker.is_reachable
                 && worker.status.as_ref().is_some_and(|status| !status.is_draining)
-                && now.duration_since(worker.last_heard) < self.settings.agent_silence
+                && now.duration_since(worker.last_heard) < self.settings.agent_timeout
                 && worker.refused_until.is_none_or(|until| until <= now)
         };
         self.workers.iter().filter(|(_, worker)| is_open(worker)).map(|(key, _)| key).collect()
@@ -259,7 +259,8 @@
         let chain_ms = job.queue.stretch.max(1.0) * job.spec.critical_path_ms() as f64;
         let objective = Duration::from_millis(chain_ms as u64 + job.queue.objective_ms);
         let deadline = job.accepted_at + objective;
-        let hopeless = job.accepted_at + objective.mul_f64(self.settings.planning.hopeless_factor);
+        let hopeless =
+            job.accepted_at + objective.mul_f64(self.settings.planning.long_overdue_factor);
         let lateness = if stage.is_long_running || now <= deadline {
             Lateness::InTime
         } else if now <= hopeless {
@@ -296,7 +297,7 @@
             .map(|status| status.capacity.cpu_milli)
             .sum();
         let fleet_ms = core_ms as f64 * 1_000.0 / fleet_milli.max(1) as f64;
-        Duration::from_millis((fleet_ms * self.settings.planning.size_handicap) as u64)
+        Duration::from_millis((fleet_ms * self.settings.planning.remaining_work_weight) as u64)
     }
 
     fn place_stage(
@@ -358,7 +359,7 @@
         let waiting_since = *task.waiting_since.get_or_insert(now);
         let has_waited = now.duration_since(waiting_since) >= settings.starvation_wait;
         let service = self.jobs[job].queue.service.clone();
-        if !has_waited || self.reserved_share(&service) >= settings.starvation_load {
+        if !has_waited || self.reserved_share(&service) >= settings.starvation_max_load {
             return;
         }
         let Some(worker) = self.roomiest_worker(key, &stage, workers) else { return };
--- a/crates/teaseltrack/src/cell/regrouping.rs
+++ b/crates/teaseltrack/src/cell/regrouping.rs
@@ -78,7 +78,7 @@
 
     /// Whether the task is at work, hasn't been moved lately, and no other of its stage is away.
     fn may_move(&self, key: TaskKey, now: Instant) -> bool {
-        let rest = self.settings.planning.rest_after_move;
+        let rest = self.settings.planning.move_cooldown;
         let is_at_work = |run: &Run| run.is_listed && !run.is_stopping && run.percent >= 100;
         let Some(task) = self.task(key) else { return false };
         let tasks =
--- a/crates/teaseltrack/src/cell/scoring.rs
+++ b/crates/teaseltrack/src/cell/scoring.rs
@@ -114,7 +114,7 @@
                 has_room.then(|| (self.company(worker, stage), -left_milli))?
             }
             Kind::BestEffort => {
-                let floor = self.settings.planning.best_effort_floor;
+                let floor = self.settings.planning.best_effort_min_share;
                 let floor_milli = (stage.resources.cpu_milli as f64 * floor) as i64;
                 let spare_milli = self.spare_milli(worker);
                 let usable_milli = (spare_milli >= floor_milli)
@@ -123,7 +123,7 @@
             }
         };
         let is_near = stage.data_rack.as_ref().is_some_and(|rack| status.labels.contains(rack));
-        let is_slow = worker.slowness > self.settings.health.avoided_slowness;
+        let is_slow = worker.slowness > self.settings.health.slowdown_threshold;
         let is_avoided = self.task(key).and_then(|task| task.avoided).is_some_and(|avoided| {
             self.workers.get(avoided).is_some_and(|avoided| avoided.life == worker.life)
         });
@@ -149,7 +149,8 @@
     /// Processor time that no task uses or is about to use.
     fn spare_milli(&self, worker: &Worker) -> i64 {
         let capacity_milli = worker.status.as_ref().map_or(0, |status| status.capacity.cpu_milli);
-        let serving = worker.demand.serving_milli as f64 * self.settings.planning.serving_load;
+        let serving =
+            worker.demand.serving_milli as f64 * self.settings.planning.serving_utilization;
         let arriving: u64 = worker.arriving.iter().map(|arrival| arrival.cpu_milli).sum();
         let taken_milli = worker.demand.batch_milli
             + serving as u64
@@ -185,7 +186,7 @@
         let image = stage.image.as_deref().unwrap_or_default();
         let capacity_milli = worker.status.as_ref().map_or(0, |status| status.capacity.cpu_milli);
         let task_count = worker.best_effort_images.get(image).map_or(0, |asked| asked.task_count);
-        let is_tried = task_count >= self.settings.planning.tasks_on_trial
+        let is_tried = task_count >= self.settings.planning.trial_tasks_per_worker
             && worker.headrooms.keys().any(|serving| known.is_inconclusive(serving, image));
         if is_tried {
             return 0;
--- a/crates/teaseltrack/src/cell/worker.rs
+++ b/crates/teaseltrack/src/cell/worker.rs
@@ -85,7 +85,7 @@
     /// When a refused start, or failures in a row, allow the next start.
     pub refused_until: Option<Instant>,
     /// Runs that failed since the last one that was done.
-    pub failures_in_row: u32,
+    pub consecutive_failures: u32,
     /// Run times against those of the same stage elsewhere; 1 for a worker like the others.
     pub slowness: f64,
     /// Room held by tasks.
@@ -131,7 +131,7 @@
             last_heard: now,
             is_reachable: false,
             refused_until: None,
-            failures_in_row: 0,
+            consecutive_failures: 0,
             slowness: 1.0,
             reserved: Resources::default(),
             demand: Demand::default(),
--- a/crates/teaseltrack/tests/cell.rs
+++ b/crates/teaseltrack/tests/cell.rs
@@ -200,7 +200,7 @@
     fn commit(&mut self) {
         while let Some(batch) = self.cell.next_commit(50) {
             self.progress.extend(batch.rows);
-            self.cell.committed();
+            self.cell.commit_succeeded();
         }
     }
 
@@ -252,7 +252,7 @@
 
     fn exchange(&mut self, index: usize) {
         let report = self.instances[index].report();
-        let answer = self.cell.report(report, true, self.now);
+        let answer = self.cell.handle_report(report, true, self.now);
         let instance = &mut self.instances[index];
         instance.refused.clear();
         if answer.session > instance.session {
@@ -446,7 +446,7 @@
     let instance = &fleet.instances[index];
     let listing = WorkerListing { running: None, ended: instance.ended.clone() };
     let report = Report { listing: Some(listing), ..instance.report() };
-    fleet.cell.report(report, true, fleet.now);
+    fleet.cell.handle_report(report, true, fleet.now);
     fleet.instances[index].is_cut = true;
     fleet.commit();
     fleet.steps(300);
@@ -462,7 +462,7 @@
     let late = fleet.instances[0].report();
     fleet.restart_worker(0);
     fleet.steps(3);
-    let answer = fleet.cell.report(late, true, fleet.now);
+    let answer = fleet.cell.handle_report(late, true, fleet.now);
     assert_eq!(answer.session, 0);
     fleet.steps(100);
     assert_eq!(fleet.cell.state("0000000000000001"), Some(JobState::Completed));
--- a/crates/teaseltrack/tests/sharing.rs
+++ b/crates/teaseltrack/tests/sharing.rs
@@ -32,7 +32,7 @@
 
 /// Nothing here makes progress, and nothing is to be stopped for that.
 const SETTINGS: CellSettings = CellSettings {
-    health: HealthSettings { stall: Duration::from_secs(3_600), ..CELL_SETTINGS.health },
+    health: HealthSettings { stall_timeout: Duration::from_secs(3_600), ..CELL_SETTINGS.health },
     ..CELL_SETTINGS
 };
 
@@ -88,7 +88,7 @@
             self.cell.tick(self.now);
             self.cell.plan(0, self.now);
             while self.cell.next_commit(50).is_some() {
-                self.cell.committed();
+                self.cell.commit_succeeded();
             }
         }
     }
@@ -138,7 +138,7 @@
             interference: disturbances,
             ..Report::default()
         };
-        let answer = self.cell.report(report, true, self.now);
+        let answer = self.cell.handle_report(report, true, self.now);
         let instance = &mut self.instances[index];
         instance.session = answer.session;
         instance.ended.retain(|end| end.number > answer.forget_until);
