--- a/crates/teaseltrack/src/cell.rs
+++ b/crates/teaseltrack/src/cell.rs
@@ -1,13 +1,13 @@
-//! Jobs of dependent stages on the workers of one cell, as decided by the cell's owner.
+//! State machine of a cell's owner, which schedules jobs of dependent stages on the cell's workers.
 //!
-//! The owner holds everything in memory and commits what must last ([`progress`]) in batches. The
-//! order of steps is what keeps a task from running twice: a start is sent after its assignment is
-//! committed, and a worker forgets an end after the end is committed. What an owner's death leaves
-//! open, the workers' own lists answer under a higher session token. A worker that can't be asked
-//! keeps its tasks until its lease has run out.
+//! The owner keeps all state in memory and commits job progress ([`progress`]) in batches. The
+//! order of these steps prevents a task from running twice: a start order is sent only after its
+//! assignment is committed, and a worker discards an end only after the end is committed. After a
+//! takeover, the new owner recovers uncommitted state from the workers' listings, which it requests
+//! under a higher session token. An unreachable worker keeps its tasks until its lease expires.
 //!
-//! [`Cell`] takes submissions, cancellations and reports, plans ([`planning`]), and hands out what
-//! is to be committed and ordered. It does no input or output, and the time is an argument.
+//! [`Cell`] processes submissions, cancellations and reports, plans ([`planning`]), and returns the
+//! progress to commit and the orders to send. It performs no I/O; callers pass in the current time.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -50,48 +50,49 @@
 new_key_type! {
     /// Key of a job within the owner.
     pub struct JobKey;
-    /// Key of a worker's life within the owner.
+    /// Key of a worker incarnation within the owner.
     pub struct WorkerKey;
 }
 
-/// Attempts of one task that an epoch may number.
+/// Attempt numbers reserved for each epoch, per task.
 const ATTEMPTS_PER_EPOCH: u32 = 1_000;
-/// Sessions that an epoch may number.
+/// Session numbers reserved for each epoch.
 const SESSIONS_PER_EPOCH: u64 = 1 << 20;
-/// Time between two fits of what disturbs what; tails are reported about as often.
-const SETTLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Orders in one answer; keeps an answer within one message.
-const MAX_ORDERS_PER_ANSWER: usize = 64;
+/// Interval of interference estimation, stall detection and slowdown decay; about the interval at
+/// which tails are reported.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
+/// Most orders in one response; keeps the response within the message size limit.
+const MAX_ORDERS_PER_RESPONSE: usize = 64;
 
-/// Bounds under which an owner decides.
+/// Settings of a cell's owner.
 #[derive(Clone, Copy, Debug)]
 pub struct CellSettings {
-    /// Lease granted to a worker with each report.
+    /// Duration of the lease granted with each report.
     pub lease: Duration,
-    /// How much slower than true time a worker's clock may run, as a share.
+    /// Maximum rate, as a fraction, by which a worker's clock may run slow.
     pub clock_drift: f64,
-    /// Added to every wait for the end of a lease.
+    /// Safety margin added to every wait for a lease to expire.
     pub lease_margin: Duration,
-    /// Silence of an agent after which its worker gets no new tasks.
+    /// Time without a report from the agent after which its worker gets no new tasks.
     pub agent_timeout: Duration,
-    /// Pause of placement on a worker after it refused a start.
+    /// Time without new assignments to a worker after it refused a start.
     pub refusal_backoff: Duration,
-    /// How workers are judged by what they run.
+    /// Detection of failing, slow and stalled workers.
     pub health: health::HealthSettings,
-    /// How planning shares workers.
+    /// Placement and sharing of workers.
     pub planning: planning::PlanningSettings,
-    /// How disturbing images are told from noise.
+    /// Estimation of the interference between images.
     pub interference: InterferenceSettings,
 }
 
 impl CellSettings {
-    /// A granted lease by true time, on the slowest clock.
+    /// Upper bound on the real duration of a lease, given the slowest allowed worker clock.
     pub fn worst_case_lease(&self) -> Duration {
         self.lease.mul_f64(1.0 + self.clock_drift) + self.lease_margin
     }
 }
 
-/// A task under an attempt on a worker.
+/// Run of a task's current attempt on a worker.
 #[derive(Clone, Debug)]
 pub struct Run {
     worker: WorkerKey,
@@ -100,17 +101,17 @@
     is_stopping: bool,
     percent: u32,
     gauge: u64,
-    listed_at: Option<Instant>,
-    moved_at: Option<Instant>,
+    first_listed_at: Option<Instant>,
+    progressed_at: Option<Instant>,
 }
 
-/// A task.
+/// Scheduling state of a task.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
     progress: TaskProgress,
     run: Option<Run>,
     waiting_since: Option<Instant>,
-    avoided: Option<WorkerKey>,
+    avoided_worker: Option<WorkerKey>,
     moved_at: Option<Instant>,
     run_time: Option<Duration>,
 }
@@ -126,7 +127,7 @@
     stages: Vec<Vec<Task>>,
 }
 
-/// A job.
+/// Scheduling state of a job.
 #[derive(Clone, Debug)]
 pub struct Job {
     id: JobId,
@@ -137,17 +138,17 @@
     committed_state: JobState,
     occurrences: Vec<Occurrence>,
     is_dirty: bool,
-    held_starts: Vec<(WorkerKey, TaskKey)>,
+    uncommitted_starts: Vec<(WorkerKey, TaskKey)>,
 }
 
-/// Progress to be committed in one transaction.
+/// Job progress to commit in one transaction.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CommitBatch {
-    /// Rows to write.
+    /// Progress rows to write, by job.
     pub rows: Vec<(JobId, JobProgress)>,
 }
 
-/// Effects that wait for the commit in flight.
+/// State changes and orders deferred until the in-flight commit succeeds.
 #[derive(Clone, Debug, Default)]
 struct PendingEffects {
     starts: Vec<(WorkerKey, TaskKey)>,
@@ -155,95 +156,95 @@
     ends: Vec<(WorkerKey, u64)>,
 }
 
-/// A job as read from the store.
+/// Job as read from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredJob {
-    /// Its identifier.
+    /// Identifier chosen by the caller.
     pub id: JobId,
-    /// As submitted.
+    /// Specification as submitted.
     pub spec: JobSpec,
-    /// Its queue when it was submitted.
+    /// Queue configuration at submission; used if the queue no longer exists.
     pub queue: Queue,
-    /// What was committed of it.
+    /// Last committed progress; `None` if nothing was committed.
     pub progress: Option<JobProgress>,
-    /// Whether its caller cancelled it.
+    /// Whether the caller cancelled the job.
     pub is_cancelled: bool,
-    /// How long ago it was accepted.
+    /// Time since the job was accepted.
     pub age: Duration,
 }
 
-/// Something that an operator would want to read about.
+/// Scheduling event, for logs and metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CellEvent {
-    /// A task was assigned.
+    /// A task was assigned to a worker.
     Assigned {
-        /// The task.
+        /// Name of the task.
         task: TaskName,
-        /// Its attempt.
+        /// Attempt of the run.
         attempt: AttemptNumber,
-        /// Where.
+        /// Worker incarnation of the run.
         worker: WorkerIncarnation,
     },
-    /// A run ended.
+    /// A worker reported the end of a run.
     Ended {
-        /// The task.
+        /// Name of the task.
         task: TaskName,
-        /// Its attempt.
+        /// Attempt of the run.
         attempt: AttemptNumber,
-        /// Where.
+        /// Worker incarnation of the run.
         worker: WorkerIncarnation,
-        /// How.
+        /// Why the run ended.
         cause: EndCause,
     },
-    /// A run that makes no progress is stopped.
+    /// A run is being stopped because it makes no progress.
     Stalled {
-        /// The task.
+        /// Name of the task.
         task: TaskName,
-        /// Its attempt.
+        /// Attempt of the run.
         attempt: AttemptNumber,
-        /// Where.
+        /// Worker incarnation of the run.
         worker: WorkerIncarnation,
     },
-    /// A serving task is stopped to be placed elsewhere.
+    /// A serving task is being stopped so that it can be placed on another worker.
     Moved {
-        /// The task.
+        /// Name of the task.
         task: TaskName,
-        /// Its attempt.
+        /// Attempt of the run.
         attempt: AttemptNumber,
-        /// From where.
+        /// Worker incarnation of the run.
         worker: WorkerIncarnation,
     },
-    /// A task was taken back from a worker without an end.
+    /// A task was reclaimed from a worker that reported no end of its run.
     Reclaimed {
-        /// The task.
+        /// Name of the task.
         task: TaskName,
-        /// Its attempt.
+        /// Attempt of the run.
         attempt: AttemptNumber,
-        /// From where.
+        /// Worker incarnation of the run.
         worker: WorkerIncarnation,
-        /// Why.
+        /// Reason, as logged.
         reason: String,
     },
-    /// A job reached a state.
+    /// A job reached a final state.
     State {
-        /// The job.
+        /// Identifier of the job.
         job: JobId,
-        /// The state.
+        /// State that it reached.
         state: JobState,
     },
-    /// A worker's life began a session.
+    /// A worker incarnation started a session.
     Session {
-        /// The worker.
+        /// Worker incarnation.
         worker: WorkerIncarnation,
-        /// Its agent.
+        /// Agent of the worker.
         agent: InstanceId,
-        /// The session.
+        /// Token of the new session.
         session: SessionToken,
     },
 }
 
 impl CellEvent {
-    /// Name in metrics; the ends of runs by their cause.
+    /// Name in metrics; ended runs are named by their cause.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Assigned { .. } => "assigned",
@@ -257,7 +258,7 @@
     }
 }
 
-/// State of a cell in its owner's memory.
+/// In-memory state of a cell, held by its owner.
 #[derive(Debug)]
 pub struct Cell {
     settings: CellSettings,
@@ -268,31 +269,32 @@
     by_id: HashMap<JobId, JobKey>,
     active: Vec<JobKey>,
     workers: SlotMap<WorkerKey, Worker>,
-    by_life: HashMap<WorkerIncarnation, WorkerKey>,
+    by_incarnation: HashMap<WorkerIncarnation, WorkerKey>,
     by_agent: BTreeMap<InstanceId, WorkerKey>,
-    pending: Option<PendingEffects>,
+    pending_effects: Option<PendingEffects>,
     needs_plan: bool,
     events: Vec<CellEvent>,
-    foreign_leases_end: Instant,
+    previous_leases_end: Instant,
     interference: InterferenceModel,
-    settled_at: Option<Instant>,
+    maintained_at: Option<Instant>,
     regrouped_at: Option<Instant>,
 }
 
 impl Cell {
-    /// A cell whose owner has just begun `epoch`, with nothing in it yet.
+    /// Creates the empty cell of an owner that has just started `epoch`.
     ///
-    /// `foreign_grants_end` is when the owner before can have granted its last lease.
+    /// `previous_grants_end` is the latest time at which the previous owner may have granted a
+    /// lease.
     pub fn new(
         settings: CellSettings,
         epoch: Epoch,
         configuration: QueueConfiguration,
-        foreign_grants_end: Instant,
+        previous_grants_end: Instant,
     ) -> Self {
         Self {
-            foreign_leases_end: foreign_grants_end + settings.worst_case_lease(),
+            previous_leases_end: previous_grants_end + settings.worst_case_lease(),
             interference: InterferenceModel::new(settings.interference),
-            settled_at: None,
+            maintained_at: None,
             regrouped_at: None,
             settings,
             epoch,
@@ -302,30 +304,30 @@
             by_id: HashMap::new(),
             active: Vec::new(),
             workers: SlotMap::with_key(),
-            by_life: HashMap::new(),
+            by_incarnation: HashMap::new(),
             by_agent: BTreeMap::new(),
-            pending: None,
+            pending_effects: None,
             needs_plan: true,
             events: Vec::new(),
         }
     }
 
-    /// The ownership period.
+    /// Epoch of the owner.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub fn configuration_version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// Takes what happened since the last call.
+    /// Returns and clears the events since the last call.
     pub fn take_events(&mut self) -> Vec<CellEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Puts a newer configuration in force; an older one is ignored.
+    /// Applies a configuration if it is newer than the active one.
     pub fn apply_configuration(&mut self, configuration: QueueConfiguration) {
         if configuration.version <= self.configuration.version {
             return;
@@ -339,7 +341,7 @@
         self.needs_plan = true;
     }
 
-    /// Takes in a stored job; one that is known already only takes in its cancellation.
+    /// Adds a stored job. For a job that is already loaded, only applies its cancellation.
     pub fn admit(&mut self, stored: StoredJob, now: Instant) {
         if let Some(&key) = self.by_id.get(&stored.id) {
             if stored.is_cancelled {
@@ -359,7 +361,7 @@
             committed_state: progress.state,
             occurrences: Vec::new(),
             is_dirty: false,
-            held_starts: Vec::new(),
+            uncommitted_starts: Vec::new(),
         });
         self.by_id.insert(stored.id, key);
         self.restore_occurrences(key, progress.occurrences, now);
@@ -372,25 +374,26 @@
         self.needs_plan = true;
     }
 
-    /// Cancels a job whose cancellation is stored; `false` if it isn't known.
+    /// Cancels a job whose cancellation is stored; returns `false` if the job is not loaded.
     pub fn cancel(&mut self, id: &str) -> bool {
         let Some(&key) = self.by_id.get(id) else { return false };
         self.cancel_job(key);
         true
     }
 
-    /// State of a job towards its caller; final only once it is committed.
+    /// State of a job as shown to its caller. `Completed` and `Failed` are shown only once they are
+    /// committed; a cancellation is stored before it gets here and is shown at once.
     pub fn state(&self, id: &str) -> Option<JobState> {
         let job = &self.jobs[*self.by_id.get(id)?];
-        let is_settled = !job.state.is_final() || job.committed_state == job.state;
+        let is_committed = !job.state.is_final() || job.committed_state == job.state;
         Some(match job.state {
             JobState::Cancelled => JobState::Cancelled,
-            state if is_settled => state,
+            state if is_committed => state,
             _ => JobState::Active,
         })
     }
 
-    /// Jobs of a queue of which no task has started.
+    /// Number of jobs in a queue of which no task has been assigned.
     pub fn pending_count(&self, queue: &str) -> usize {
         self.active
             .iter()
@@ -399,105 +402,108 @@
             .count()
     }
 
-    /// Jobs that aren't in a final state.
+    /// Number of jobs that are not final, or whose final state is not yet committed.
     pub fn open_count(&self) -> usize {
         self.active.len()
     }
 
-    /// Takes in an agent's report and answers it.
+    /// Processes an agent's report and returns the response.
     ///
-    /// `may_grant` is whether the owner may still grant leases.
+    /// `may_grant` tells whether the owner may still grant leases.
     pub fn handle_report(
         &mut self,
         report: Report,
         may_grant: bool,
         now: Instant,
     ) -> ReportResponse {
-        let mut answer = ReportResponse { epoch: self.epoch, ..ReportResponse::default() };
-        let Some(status) = report.status else { return answer };
-        let Some(key) = self.attach(&report.agent, status, now) else { return answer };
+        let mut response = ReportResponse { epoch: self.epoch, ..ReportResponse::default() };
+        let Some(status) = report.status else { return response };
+        let Some(key) = self.attach_agent(&report.agent, status, now) else { return response };
         if !self.check_session(key, report.session, report.started_unix_ms, &report.agent) {
-            answer.session = self.workers[key].session;
-            answer.first_order = 1;
-            self.grant(key, report.worker_clock_ms, may_grant, now, &mut answer);
-            return answer;
+            response.session = self.workers[key].session;
+            response.first_order = 1;
+            self.grant_lease(key, report.worker_clock_ms, may_grant, now, &mut response);
+            return response;
         }
         let worker = &mut self.workers[key];
-        worker.last_heard = now;
+        worker.last_report_at = now;
         if worker.is_reachable != report.is_worker_reachable {
             worker.is_reachable = report.is_worker_reachable;
             self.needs_plan = true;
         }
-        worker.take_orders(report.accepted_order);
+        worker.acknowledge_orders(report.accepted_order);
         for refused in report.refused {
-            self.take_refusal(key, &refused, now);
+            self.process_refusal(key, &refused, now);
         }
         if let Some(listing) = report.listing {
             if let Some(running) = &listing.running {
-                self.observe_sharing(key, running, now);
+                self.observe_interference(key, running, now);
             }
-            self.take_listing(key, listing, now);
+            self.process_listing(key, listing, now);
         }
-        if let Some(known) = report.interference {
-            self.interference.adopt_estimates(known);
+        if let Some(estimates) = report.interference {
+            self.interference.adopt_estimates(estimates);
         }
         if report.interference_version != self.interference.estimates().version {
-            answer.interference = Some(self.interference.estimates().clone());
+            response.interference = Some(self.interference.estimates().clone());
         }
-        self.grant(key, report.worker_clock_ms, may_grant, now, &mut answer);
+        self.grant_lease(key, report.worker_clock_ms, may_grant, now, &mut response);
         let worker = &self.workers[key];
-        answer.session = worker.session;
-        answer.forget_until = worker.committed_end;
-        answer.first_order = worker.first_order;
-        answer.orders = worker.orders.iter().take(MAX_ORDERS_PER_ANSWER).cloned().collect();
-        answer
+        response.session = worker.session;
+        response.forget_until = worker.committed_end;
+        response.first_order = worker.first_order;
+        response.orders = worker.orders.iter().take(MAX_ORDERS_PER_RESPONSE).cloned().collect();
+        response
     }
 
-    /// Whether the agent's worker has orders that weren't taken, or ends to be forgotten.
-    pub fn has_pending_update(&self, agent: &str, taken_order: u64, forgot_until: u64) -> bool {
+    /// Whether the agent's worker has orders that the agent has not accepted, or committed ends
+    /// that it may discard.
+    pub fn has_pending_update(&self, agent: &str, accepted_order: u64, forgot_until: u64) -> bool {
         self.by_agent.get(agent).is_some_and(|key| {
             let worker = &self.workers[*key];
             let next_order = worker.first_order + worker.orders.len() as u64;
-            next_order > taken_order + 1 || worker.committed_end > forgot_until
+            next_order > accepted_order + 1 || worker.committed_end > forgot_until
         })
     }
 
-    /// An answer to a report that was answered before, with what has come since.
+    /// Response for a parked report, with the orders and committed ends since it was received.
+    /// Grants no lease.
     pub fn pending_update(&self, agent: &str) -> ReportResponse {
-        let mut answer = ReportResponse { epoch: self.epoch, ..ReportResponse::default() };
+        let mut response = ReportResponse { epoch: self.epoch, ..ReportResponse::default() };
         let Some(worker) = self.by_agent.get(agent).map(|key| &self.workers[*key]) else {
-            return answer;
+            return response;
         };
-        answer.session = worker.session;
-        answer.forget_until = worker.committed_end;
-        answer.first_order = worker.first_order;
-        answer.orders = worker.orders.iter().take(MAX_ORDERS_PER_ANSWER).cloned().collect();
-        answer
+        response.session = worker.session;
+        response.forget_until = worker.committed_end;
+        response.first_order = worker.first_order;
+        response.orders = worker.orders.iter().take(MAX_ORDERS_PER_RESPONSE).cloned().collect();
+        response
     }
 
-    /// Takes back the tasks of workers whose lease has run out, and moves tasks off workers that
-    /// are about to leave.
+    /// Reclaims the tasks of workers whose lease has expired, and periodically updates the
+    /// interference estimates, stops stalled runs and decays slowdowns.
     pub fn tick(&mut self, now: Instant) {
-        let lapsed: Vec<WorkerKey> = self
+        let expired_workers: Vec<WorkerKey> = self
             .workers
             .iter()
             .filter(|(_, worker)| worker.lease_end.is_some_and(|end| end <= now))
             .map(|(key, _)| key)
             .collect();
-        for key in lapsed {
-            self.end_life(key, "lease ran out");
+        for key in expired_workers {
+            self.invalidate_worker(key, "lease expired");
         }
-        let settled_at = *self.settled_at.get_or_insert(now);
-        if now.duration_since(settled_at) >= SETTLE_INTERVAL {
-            self.interference.update_estimates(now.duration_since(settled_at), now);
+        let maintained_at = *self.maintained_at.get_or_insert(now);
+        if now.duration_since(maintained_at) >= MAINTENANCE_INTERVAL {
+            self.interference.update_estimates(now.duration_since(maintained_at), now);
             self.stop_stalled_runs(now);
-            self.forget_slowness(now.duration_since(settled_at));
-            self.settled_at = Some(now);
+            self.decay_slowdowns(now.duration_since(maintained_at));
+            self.maintained_at = Some(now);
         }
     }
 
-    /// Learns from the tails of serving tasks beside what best-effort tasks use.
-    fn observe_sharing(&mut self, key: WorkerKey, running: &[RunningTask], now: Instant) {
+    /// Feeds the interference model with the tails of serving tasks and the processor use of the
+    /// colocated best-effort tasks, and updates the worker's headrooms.
+    fn observe_interference(&mut self, key: WorkerKey, running: &[RunningTask], now: Instant) {
         let Some(status) = self.workers[key].status.as_ref() else { return };
         let capacity_milli = status.capacity.cpu_milli.max(1) as f64;
         let mut usage = ImageUsage::new();
@@ -512,17 +518,17 @@
                 tails.push((task, image, run.gauge, target_ms));
             }
         }
-        let known = self.interference.estimates();
-        let aim = self.settings.planning.tail_limit;
+        let estimates = self.interference.estimates();
+        let limit = self.settings.planning.tail_limit;
         let mut headrooms = BTreeMap::new();
         for (_, image, tail_ms, target_ms) in &tails {
             let tail_ms = *tail_ms as f64;
-            let idle_tail_ms = known.idle_tail_ms(image, tail_ms);
+            let idle_tail_ms = estimates.idle_tail_ms(image, tail_ms);
             let tail = Tail { tail_ms, idle_tail_ms, target_ms: *target_ms as f64 };
-            let undisturbed = tail.utilization() / (1.0 + known.total_growth(image, &usage));
-            let headroom = tail.utilization_at(aim) / undisturbed - 1.0;
-            let least = headrooms.entry(image.clone()).or_insert(headroom);
-            *least = headroom.min(*least);
+            let baseline = tail.utilization() / (1.0 + estimates.total_growth(image, &usage));
+            let headroom = tail.utilization_at(limit) / baseline - 1.0;
+            let lowest = headrooms.entry(image.clone()).or_insert(headroom);
+            *lowest = headroom.min(*lowest);
         }
         let worker = &mut self.workers[key];
         worker.headrooms = headrooms;
@@ -533,10 +539,10 @@
         }
     }
 
-    /// Progress to commit next, at most `max_rows`; `None` if there is nothing to commit or a
-    /// commit is in flight.
+    /// Returns the next batch to commit, of at most `max_rows` rows; `None` if there is nothing to
+    /// commit or a commit is in flight.
     pub fn next_commit(&mut self, max_rows: usize) -> Option<CommitBatch> {
-        if self.pending.is_some() {
+        if self.pending_effects.is_some() {
             return None;
         }
         let dirty: Vec<JobKey> = self
@@ -545,7 +551,8 @@
             .copied()
             .filter(|key| self.jobs.get(*key).is_some_and(|job| job.is_dirty))
             .collect();
-        let has_ends = self.workers.values().any(|worker| worker.seen_end > worker.committed_end);
+        let has_ends =
+            self.workers.values().any(|worker| worker.processed_end > worker.committed_end);
         if dirty.is_empty() && !has_ends {
             return None;
         }
@@ -553,33 +560,33 @@
         let mut effects = PendingEffects::default();
         if dirty.len() <= max_rows {
             effects.ends =
-                self.workers.iter().map(|(key, worker)| (key, worker.seen_end)).collect();
+                self.workers.iter().map(|(key, worker)| (key, worker.processed_end)).collect();
         }
         for key in dirty.into_iter().take(max_rows) {
             let progress = self.progress_of(key);
             let job = &mut self.jobs[key];
             job.is_dirty = false;
-            effects.starts.append(&mut job.held_starts);
+            effects.starts.append(&mut job.uncommitted_starts);
             effects.states.push((key, job.state));
             batch.rows.push((job.id.clone(), progress));
         }
-        self.pending = Some(effects);
+        self.pending_effects = Some(effects);
         Some(batch)
     }
 
-    /// Releases what waited for the commit in flight, which took effect.
+    /// Applies the effects deferred until the in-flight commit, which has succeeded.
     pub fn commit_succeeded(&mut self) {
-        let Some(effects) = self.pending.take() else { return };
+        let Some(effects) = self.pending_effects.take() else { return };
         for (key, state) in effects.states {
             self.jobs[key].committed_state = state;
         }
         for (worker, end) in effects.ends {
             if let Some(worker) = self.workers.get_mut(worker) {
-                worker.committed_end = worker.committed_end.max(end.min(worker.seen_end));
+                worker.committed_end = worker.committed_end.max(end.min(worker.processed_end));
             }
         }
         for (worker, task) in effects.starts {
-            self.send_start(worker, task);
+            self.enqueue_start(worker, task);
         }
         self.active.retain(|key| {
             let job = &self.jobs[*key];
@@ -587,7 +594,7 @@
         });
     }
 
-    /// Whether something changed that calls for planning.
+    /// Whether state has changed since the last planning round.
     pub fn needs_plan(&self) -> bool {
         self.needs_plan
     }
@@ -599,22 +606,22 @@
         now: Instant,
     ) {
         let spec = self.jobs[key].spec.clone();
-        let bound = self.foreign_leases_end;
+        let lease_end = self.previous_leases_end;
         for (occurrence, stages) in occurrences.into_iter().enumerate() {
             let mut restored = Occurrence::default();
             for (stage, tasks) in stages.into_iter().enumerate() {
                 let mut restored_tasks = Vec::with_capacity(tasks.len());
                 for (index, progress) in tasks.into_iter().enumerate() {
                     let run = match &progress.phase {
-                        TaskPhase::Assigned(life) => {
-                            let worker = self.worker_of_life(life, bound, now);
+                        TaskPhase::Assigned(incarnation) => {
+                            let worker = self.worker_by_incarnation(incarnation, lease_end, now);
                             let task = TaskKey {
                                 job: key,
                                 occurrence: occurrence as u32,
                                 stage: stage as u32,
                                 index: index as u32,
                             };
-                            self.workers[worker].hold(task, &spec.stages[stage]);
+                            self.workers[worker].reserve(task, &spec.stages[stage]);
                             Some(Run::new(worker, 0))
                         }
                         TaskPhase::Waiting | TaskPhase::Done => None,
@@ -627,48 +634,54 @@
         }
     }
 
-    fn worker_of_life(&mut self, life: &str, lease_end: Instant, now: Instant) -> WorkerKey {
-        if let Some(&key) = self.by_life.get(life) {
+    fn worker_by_incarnation(
+        &mut self,
+        incarnation: &str,
+        lease_end: Instant,
+        now: Instant,
+    ) -> WorkerKey {
+        if let Some(&key) = self.by_incarnation.get(incarnation) {
             return key;
         }
-        let mut worker = Worker::new(life.to_owned(), now);
+        let mut worker = Worker::new(incarnation.to_owned(), now);
         worker.lease_end = Some(lease_end);
         let key = self.workers.insert(worker);
-        self.by_life.insert(life.to_owned(), key);
+        self.by_incarnation.insert(incarnation.to_owned(), key);
         key
     }
 
-    /// The worker that the agent reports; `None` if an earlier life is reported late.
-    fn attach(
+    /// Associates the agent with the reported worker incarnation, creating it if it is unknown;
+    /// `None` for a late report of an earlier incarnation.
+    fn attach_agent(
         &mut self,
         agent: &InstanceId,
         status: WorkerStatus,
         now: Instant,
     ) -> Option<WorkerKey> {
-        let life = status.incarnation();
+        let incarnation = status.incarnation();
         if let Some(&current) = self.by_agent.get(agent) {
-            let known = &self.workers[current];
-            let born = known.status.as_ref().map_or(0, |status| status.started_unix_ms);
-            if known.life != life {
-                if born > status.started_unix_ms {
+            let worker = &self.workers[current];
+            let current_unix_ms = worker.status.as_ref().map_or(0, |status| status.started_unix_ms);
+            if worker.incarnation != incarnation {
+                if current_unix_ms > status.started_unix_ms {
                     return None;
                 }
-                self.end_life(current, "the worker began a new life");
-                self.forget_worker(current);
+                self.invalidate_worker(current, "worker restarted");
+                self.remove_worker(current);
             }
         }
-        let key = match self.by_life.get(&life) {
+        let key = match self.by_incarnation.get(&incarnation) {
             Some(&key) => key,
             None => {
-                let key = self.workers.insert(Worker::new(life.clone(), now));
-                self.by_life.insert(life, key);
+                let key = self.workers.insert(Worker::new(incarnation.clone(), now));
+                self.by_incarnation.insert(incarnation, key);
                 key
             }
         };
         self.by_agent.insert(agent.clone(), key);
         let worker = &mut self.workers[key];
         worker.agent = Some(agent.clone());
-        worker.last_heard = now;
+        worker.last_report_at = now;
         if worker.status.as_ref() != Some(&status) {
             worker.status = Some(status);
             self.needs_plan = true;
@@ -676,7 +689,8 @@
         Some(key)
     }
 
-    /// Whether the report belongs to the session in force; begins one if there is none.
+    /// Whether the report belongs to the active session. Starts a session if the worker has none or
+    /// its agent has restarted.
     fn check_session(
         &mut self,
         key: WorkerKey,
@@ -693,27 +707,27 @@
         let worker = &mut self.workers[key];
         worker.begin_session(session, agent_started_unix_ms);
         self.events.push(CellEvent::Session {
-            worker: worker.life.clone(),
+            worker: worker.incarnation.clone(),
             agent: agent.clone(),
             session,
         });
         false
     }
 
-    fn grant(
+    fn grant_lease(
         &mut self,
         key: WorkerKey,
         worker_clock_ms: u64,
         may_grant: bool,
         now: Instant,
-        answer: &mut ReportResponse,
+        response: &mut ReportResponse,
     ) {
         let worst_case_lease = self.settings.worst_case_lease();
         let worker = &mut self.workers[key];
         if !may_grant || worker_clock_ms == 0 {
             return;
         }
-        answer.lease_until_ms = Some(worker_clock_ms + self.settings.lease.as_millis() as u64);
+        response.lease_until_ms = Some(worker_clock_ms + self.settings.lease.as_millis() as u64);
         if worker_clock_ms > worker.clock_ms {
             worker.clock_ms = worker_clock_ms;
             let end = now + worst_case_lease;
@@ -721,20 +735,20 @@
         }
     }
 
-    fn take_listing(&mut self, key: WorkerKey, listing: WorkerListing, now: Instant) {
+    fn process_listing(&mut self, key: WorkerKey, listing: WorkerListing, now: Instant) {
         for end in listing.ended {
-            self.take_end(key, &end, now);
+            self.process_end(key, &end, now);
         }
         let Some(running) = listing.running else { return };
         for run in &running {
-            self.take_run(key, run, now);
+            self.reconcile_run(key, run, now);
         }
         let worker = &mut self.workers[key];
-        if worker.is_confirmed {
+        if worker.is_reconciled {
             return;
         }
-        worker.is_confirmed = true;
-        worker.refused_until = None;
+        worker.is_reconciled = true;
+        worker.ineligible_until = None;
         let session = worker.session;
         let unlisted: Vec<TaskKey> = worker.tasks.iter().copied().collect();
         for task in unlisted {
@@ -743,16 +757,16 @@
                 .and_then(|task| task.run.as_ref())
                 .is_some_and(|run| run.is_listed && run.session == session);
             if !is_listed {
-                self.take_back(task, "its start was never carried out");
+                self.reclaim_task(task, "start order was not executed");
             }
         }
         self.needs_plan = true;
     }
 
-    fn take_run(&mut self, key: WorkerKey, listed: &RunningTask, now: Instant) {
+    fn reconcile_run(&mut self, key: WorkerKey, listed: &RunningTask, now: Instant) {
         let session = self.workers[key].session;
         let task_key = self.key_of(&listed.task);
-        let wanted = task_key.is_some_and(|task_key| {
+        let is_wanted = task_key.is_some_and(|task_key| {
             let is_final = self.jobs[task_key.job].state.is_final();
             let Some(task) = self.task_mut(task_key) else { return false };
             let attempt = task.progress.attempt;
@@ -763,21 +777,21 @@
             if !listed.checkpoint.is_empty() {
                 task.progress.checkpoint.clone_from(&listed.checkpoint);
             }
-            run.note_progress(listed, now);
+            run.update_progress(listed, now);
             run.is_listed = true;
             run.session = session;
             !run.is_stopping && !is_final
         });
-        if wanted {
-            if !self.workers[key].is_confirmed {
-                self.send_traits(key, &listed.task, task_key);
+        if is_wanted {
+            if !self.workers[key].is_reconciled {
+                self.enqueue_traits(key, &listed.task, task_key);
             }
             return;
         }
         let stop = Order::Stop(listed.task.clone(), listed.attempt);
         let worker = &mut self.workers[key];
         if !worker.orders.contains(&stop) {
-            worker.order(stop);
+            worker.enqueue_order(stop);
         }
         if let Some(run) =
             task_key.and_then(|key| self.task_mut(key)).and_then(|task| task.run.as_mut())
@@ -787,18 +801,18 @@
         }
     }
 
-    fn take_end(&mut self, key: WorkerKey, end: &EndedTask, now: Instant) {
+    fn process_end(&mut self, key: WorkerKey, end: &EndedTask, now: Instant) {
         let worker = &mut self.workers[key];
-        if end.number <= worker.seen_end {
+        if end.number <= worker.processed_end {
             return;
         }
-        worker.seen_end = end.number;
-        let life = worker.life.clone();
+        worker.processed_end = end.number;
+        let incarnation = worker.incarnation.clone();
         let Some(task_key) = self.key_of(&end.task) else { return };
         self.events.push(CellEvent::Ended {
             task: end.task.clone(),
             attempt: end.attempt,
-            worker: life,
+            worker: incarnation,
             cause: end.cause,
         });
         let is_current = self.task(task_key).is_some_and(|task| {
@@ -806,8 +820,8 @@
                 && task.run.as_ref().is_some_and(|run| run.worker == key)
         });
         if is_current {
-            self.judge_worker(key, task_key, end.cause, now);
-            self.free_run(task_key);
+            self.update_worker_health(key, task_key, end.cause, now);
+            self.release_run(task_key);
         }
         let Some(task) = self.task_mut(task_key) else { return };
         if end.attempt <= task.progress.ended_attempt && !is_current {
@@ -821,18 +835,18 @@
         self.jobs[task_key.job].is_dirty = true;
         self.needs_plan = true;
         match end.cause {
-            EndCause::Done => self.task_done(task_key),
-            EndCause::Failed if is_new => self.task_failed(task_key),
+            EndCause::Done => self.complete_task(task_key),
+            EndCause::Failed if is_new => self.record_failure(task_key),
             EndCause::Failed
             | EndCause::Stopped
             | EndCause::Lapsed
             | EndCause::Broken
             | EndCause::Alone => {}
         }
-        self.settle(task_key.job);
+        self.finalize_if_done(task_key.job);
     }
 
-    fn task_done(&mut self, key: TaskKey) {
+    fn complete_task(&mut self, key: TaskKey) {
         let stage = &self.jobs[key.job].spec.stages[key.stage as usize];
         if stage.is_long_running {
             return;
@@ -848,7 +862,7 @@
         }
     }
 
-    fn task_failed(&mut self, key: TaskKey) {
+    fn record_failure(&mut self, key: TaskKey) {
         let job = &self.jobs[key.job];
         let stage = &job.spec.stages[key.stage as usize];
         if stage.is_long_running {
@@ -868,7 +882,7 @@
         }
     }
 
-    fn take_refusal(&mut self, key: WorkerKey, refused: &RefusedStart, now: Instant) {
+    fn process_refusal(&mut self, key: WorkerKey, refused: &RefusedStart, now: Instant) {
         let Some(task_key) = self.key_of(&refused.task) else { return };
         let is_current = self.task(task_key).is_some_and(|task| {
             task.progress.attempt == refused.attempt
@@ -877,50 +891,51 @@
         if !is_current {
             return;
         }
-        self.workers[key].refused_until = Some(now + self.settings.refusal_backoff);
-        self.take_back(task_key, &refused.reason);
-        self.settle(task_key.job);
+        self.workers[key].ineligible_until = Some(now + self.settings.refusal_backoff);
+        self.reclaim_task(task_key, &refused.reason);
+        self.finalize_if_done(task_key.job);
     }
 
-    /// Ends a worker's life: its tasks run nowhere any more.
-    fn end_life(&mut self, key: WorkerKey, reason: &str) {
+    /// Reclaims all tasks of a worker that can no longer run them, and invalidates its lease and
+    /// session.
+    fn invalidate_worker(&mut self, key: WorkerKey, reason: &str) {
         let tasks: Vec<TaskKey> = self.workers[key].tasks.iter().copied().collect();
         for task in tasks {
-            self.take_back(task, reason);
-            self.settle(task.job);
+            self.reclaim_task(task, reason);
+            self.finalize_if_done(task.job);
         }
         let worker = &mut self.workers[key];
         worker.lease_end = None;
-        worker.is_confirmed = false;
+        worker.is_reconciled = false;
         worker.session = 0;
         worker.orders.clear();
         self.needs_plan = true;
     }
 
-    fn forget_worker(&mut self, key: WorkerKey) {
+    fn remove_worker(&mut self, key: WorkerKey) {
         if let Some(worker) = self.workers.remove(key) {
-            self.by_life.remove(&worker.life);
+            self.by_incarnation.remove(&worker.incarnation);
         }
     }
 
-    fn take_back(&mut self, key: TaskKey, reason: &str) {
+    fn reclaim_task(&mut self, key: TaskKey, reason: &str) {
         let Some(name) = self.name_of(key) else { return };
         let Some(task) = self.task(key) else { return };
         let attempt = task.progress.attempt;
         let Some(run) = task.run.as_ref() else { return };
-        let worker = self.workers.get(run.worker).map(|worker| worker.life.clone());
+        let worker = self.workers.get(run.worker).map(|worker| worker.incarnation.clone());
         self.events.push(CellEvent::Reclaimed {
             task: name,
             attempt,
             worker: worker.unwrap_or_default(),
             reason: reason.to_owned(),
         });
-        self.free_run(key);
+        self.release_run(key);
         self.jobs[key.job].is_dirty = true;
         self.needs_plan = true;
     }
 
-    fn free_run(&mut self, key: TaskKey) {
+    fn release_run(&mut self, key: TaskKey) {
         let job = &mut self.jobs[key.job];
         let stage = &job.spec.stages[key.stage as usize];
         let task = &mut job.occurrences[key.occurrence as usize].stages[key.stage as usize]
@@ -929,14 +944,14 @@
         if let Some(run) = task.run.take()
             && let Some(worker) = self.workers.get_mut(run.worker)
         {
-            worker.free(key, stage);
+            worker.release(key, stage);
         }
         if task.progress.phase != TaskPhase::Done {
             task.progress.phase = TaskPhase::Waiting;
         }
     }
 
-    /// Asks for the stop of a run; its end frees the room.
+    /// Orders a run to stop. Its resources stay reserved until its end is reported.
     fn stop_run(&mut self, key: TaskKey) {
         let Some(name) = self.name_of(key) else { return };
         let Some(task) = self.task_mut(key) else { return };
@@ -948,14 +963,14 @@
         run.is_stopping = true;
         let worker = run.worker;
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.order(Order::Stop(name, attempt));
+            worker.enqueue_order(Order::Stop(name, attempt));
         }
     }
 
     fn cancel_job(&mut self, key: JobKey) {
         if !self.jobs[key].state.is_final() {
             self.finish(key, JobState::Cancelled);
-            self.settle(key);
+            self.finalize_if_done(key);
         }
     }
 
@@ -974,13 +989,14 @@
         self.needs_plan = true;
     }
 
-    /// Completes a job whose tasks are all done, and drops the tasks of one that has ended.
-    fn settle(&mut self, key: JobKey) {
+    /// Completes a job whose tasks are all done, and drops the task state of a final job that has
+    /// no runs left.
+    fn finalize_if_done(&mut self, key: JobKey) {
         let job = &self.jobs[key];
         let occurrence_count = job.spec.schedule.map_or(1, |schedule| schedule.occurrence_count);
-        let all_begun = job.occurrences.len() as u32 >= occurrence_count;
+        let all_started = job.occurrences.len() as u32 >= occurrence_count;
         let mut tasks = job.occurrences.iter().flat_map(|o| o.stages.iter().flatten());
-        let all_done = all_begun && tasks.all(|task| task.progress.phase == TaskPhase::Done);
+        let all_done = all_started && tasks.all(|task| task.progress.phase == TaskPhase::Done);
         if all_done && !job.state.is_final() {
             self.finish(key, JobState::Completed);
         }
@@ -988,7 +1004,7 @@
             let job = &mut self.jobs[key];
             job.is_dirty |= !job.occurrences.is_empty();
             job.occurrences.clear();
-            job.held_starts.clear();
+            job.uncommitted_starts.clear();
         }
     }
 
@@ -1005,24 +1021,24 @@
             .map(|occurrence| {
                 let stages = occurrence.stages.iter();
                 stages
-                    .map(|tasks| tasks.iter().map(|task| self.committed_form(task)).collect())
+                    .map(|tasks| tasks.iter().map(|task| self.committed_progress(task)).collect())
                     .collect()
             })
             .collect();
         JobProgress { state: job.state, occurrences }
     }
 
-    fn committed_form(&self, task: &Task) -> TaskProgress {
+    fn committed_progress(&self, task: &Task) -> TaskProgress {
         let mut progress = task.progress.clone();
         if let Some(worker) = task.run.as_ref().and_then(|run| self.workers.get(run.worker))
             && progress.phase != TaskPhase::Done
         {
-            progress.phase = TaskPhase::Assigned(worker.life.clone());
+            progress.phase = TaskPhase::Assigned(worker.incarnation.clone());
         }
         progress
     }
 
-    fn send_start(&mut self, worker_key: WorkerKey, key: TaskKey) {
+    fn enqueue_start(&mut self, worker_key: WorkerKey, key: TaskKey) {
         let Some(name) = self.name_of(key) else { return };
         let Some(worker) = self.workers.get(worker_key) else { return };
         let session = worker.session;
@@ -1034,7 +1050,7 @@
             return;
         }
         if task.run.as_ref().is_some_and(|run| run.is_stopping) {
-            return self.take_back(key, "no longer wanted before its start was sent");
+            return self.reclaim_task(key, "stopped before its start order was sent");
         }
         let start = StartOrder {
             task: name.clone(),
@@ -1042,13 +1058,13 @@
             payload: job.spec.payload.clone(),
             checkpoint: task.progress.checkpoint.clone(),
         };
-        self.send_traits(worker_key, &name, Some(key));
+        self.enqueue_traits(worker_key, &name, Some(key));
         if let Some(worker) = self.workers.get_mut(worker_key) {
-            worker.order(Order::Start(start));
+            worker.enqueue_order(Order::Start(start));
         }
     }
 
-    fn send_traits(&mut self, worker: WorkerKey, name: &TaskName, key: Option<TaskKey>) {
+    fn enqueue_traits(&mut self, worker: WorkerKey, name: &TaskName, key: Option<TaskKey>) {
         let Some(key) = key else { return };
         let stage = self.stage(key);
         if !stage.is_best_effort && stage.target_tail_ms.is_none() {
@@ -1061,7 +1077,7 @@
             target_tail_ms: stage.target_tail_ms,
         };
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.order(Order::Traits(traits));
+            worker.enqueue_order(Order::Traits(traits));
         }
     }
 
@@ -1121,8 +1137,8 @@
             is_stopping: false,
             percent: 0,
             gauge: 0,
-            listed_at: None,
-            moved_at: None,
+            first_listed_at: None,
+            progressed_at: None,
         }
     }
 }
--- a/crates/teaseltrack/src/cell/health.rs
+++ b/crates/teaseltrack/src/cell/health.rs
@@ -1,8 +1,8 @@
-//! Workers judged by what they run: failing, slow and hanging ones.
+//! Detection of failing, slow and stalled workers from the runs of their tasks.
 //!
-//! A worker that fails what it starts, while nothing there gets done, gets no new tasks for a while.
-//! Run times are compared with those of the same stage elsewhere. A run that stands still is
-//! stopped, and its next attempt goes elsewhere.
+//! A worker on which several runs in a row fail is put on probation and gets no new tasks. A
+//! worker's slowdown follows from run times relative to other tasks of the same stage. A stalled
+//! run is stopped, and its next attempt avoids the worker.
 
 use std::time::{Duration, Instant};
 
@@ -12,43 +12,47 @@
     worker::TaskKey,
 };
 
-/// How workers are judged.
+/// Settings of health detection.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthSettings {
-    /// Failures in a row after which a worker gets no new tasks.
+    /// Consecutive failures after which a worker is put on probation.
     pub max_consecutive_failures: u32,
-    /// How long it then gets none; one more failure repeats it.
+    /// Duration of probation, during which the worker gets no new tasks. Each further failure
+    /// before a run is done restarts it.
     pub probation: Duration,
-    /// Time without progress after which a run is stopped.
+    /// Time without progress after which a run counts as stalled and is stopped.
     pub stall_timeout: Duration,
-    /// Weight of the newest run in a worker's slowness.
+    /// Weight of the latest run in the moving average of a worker's slowdown.
     pub slowdown_weight: f64,
-    /// Time after which slowness counts half, in seconds.
+    /// Half-life of a worker's slowdown, in seconds.
     pub slowdown_half_life_s: f64,
-    /// Slowness beyond which other workers are preferred.
+    /// Slowdown above which other workers are preferred.
     pub slowdown_threshold: f64,
 }
 
 impl Run {
-    /// Takes in what the worker lists of the run.
-    pub(super) fn note_progress(&mut self, listed: &RunningTask, now: Instant) {
-        if self.percent != listed.percent || self.moved_at.is_none() || listed.gauge == 0 {
-            self.moved_at = Some(now);
+    /// Updates the run from the worker's listing. A run whose gauge is 0 uses no CPU and doesn't
+    /// count as stalled.
+    pub(super) fn update_progress(&mut self, listed: &RunningTask, now: Instant) {
+        if self.percent != listed.percent || self.progressed_at.is_none() || listed.gauge == 0 {
+            self.progressed_at = Some(now);
         }
-        self.listed_at.get_or_insert(now);
+        self.first_listed_at.get_or_insert(now);
         self.percent = listed.percent;
         self.gauge = listed.gauge;
     }
 
     fn is_stalled(&self, timeout: Duration, now: Instant) -> bool {
-        let stands = self.moved_at.is_some_and(|moved_at| now.duration_since(moved_at) >= timeout);
-        stands && self.is_listed && !self.is_stopping
+        let has_no_progress = self
+            .progressed_at
+            .is_some_and(|progressed_at| now.duration_since(progressed_at) >= timeout);
+        has_no_progress && self.is_listed && !self.is_stopping
     }
 }
 
 impl Cell {
-    /// Judges the worker by a run that ended on it.
-    pub(super) fn judge_worker(
+    /// Updates the worker's failure count and slowdown after the end of a run.
+    pub(super) fn update_worker_health(
         &mut self,
         key: WorkerKey,
         task_key: TaskKey,
@@ -59,41 +63,43 @@
         match cause {
             EndCause::Failed => {
                 if let Some(task) = self.task_mut(task_key) {
-                    task.avoided = Some(key);
+                    task.avoided_worker = Some(key);
                 }
                 let worker = &mut self.workers[key];
                 worker.consecutive_failures += 1;
                 if worker.consecutive_failures >= settings.max_consecutive_failures {
-                    worker.refused_until = Some(now + settings.probation);
+                    worker.ineligible_until = Some(now + settings.probation);
                 }
             }
             EndCause::Done => {
                 self.workers[key].consecutive_failures = 0;
-                self.compare_run_time(key, task_key, now);
+                self.update_slowdown(key, task_key, now);
             }
             EndCause::Stopped | EndCause::Lapsed | EndCause::Broken | EndCause::Alone => {}
         }
     }
 
-    fn compare_run_time(&mut self, key: WorkerKey, task_key: TaskKey, now: Instant) {
+    fn update_slowdown(&mut self, key: WorkerKey, task_key: TaskKey, now: Instant) {
         if self.stage(task_key).is_best_effort {
             return;
         }
         let weight = self.settings.health.slowdown_weight;
         let Some(task) = self.task_mut(task_key) else { return };
-        let listed_at = task.run.as_ref().and_then(|run| run.listed_at);
-        let Some(run_time) = listed_at.map(|listed_at| now.duration_since(listed_at)) else {
+        let first_listed_at = task.run.as_ref().and_then(|run| run.first_listed_at);
+        let Some(run_time) =
+            first_listed_at.map(|first_listed_at| now.duration_since(first_listed_at))
+        else {
             return;
         };
         task.run_time = Some(run_time);
-        let Some(usual) = self.usual_run_time(task_key) else { return };
-        let ratio = run_time.as_secs_f64() / usual.as_secs_f64().max(0.05);
+        let Some(median) = self.median_run_time(task_key) else { return };
+        let ratio = run_time.as_secs_f64() / median.as_secs_f64().max(0.05);
         let worker = &mut self.workers[key];
-        worker.slowness += weight * (ratio - worker.slowness);
+        worker.slowdown += weight * (ratio - worker.slowdown);
     }
 
-    /// Median run time of the other tasks of the stage that are done.
-    fn usual_run_time(&self, key: TaskKey) -> Option<Duration> {
+    /// Median run time of the stage's other tasks that are done.
+    fn median_run_time(&self, key: TaskKey) -> Option<Duration> {
         let occurrence = self.jobs[key.job].occurrences.get(key.occurrence as usize)?;
         let tasks: &[Task] = occurrence.stages.get(key.stage as usize)?;
         let mut times: Vec<Duration> = (0_u32..)
@@ -105,7 +111,8 @@
         times.get(times.len() / 2).copied()
     }
 
-    /// Stops runs that stand still although nothing holds them back.
+    /// Stops stalled runs of batch and best-effort tasks on reachable workers. Gang members are
+    /// exempt.
     pub(super) fn stop_stalled_runs(&mut self, now: Instant) {
         let stall = self.settings.health.stall_timeout;
         let stalled: Vec<TaskKey> = self
@@ -126,19 +133,19 @@
             let Some(task) = self.task_mut(key) else { continue };
             let attempt = task.progress.attempt;
             let Some(worker) = task.run.as_ref().map(|run| run.worker) else { continue };
-            task.avoided = Some(worker);
-            let worker = self.workers[worker].life.clone();
+            task.avoided_worker = Some(worker);
+            let worker = self.workers[worker].incarnation.clone();
             self.events.push(CellEvent::Stalled { task: name, attempt, worker });
             self.stop_run(key);
         }
     }
 
-    /// Lets slowness fade, so that a worker that has recovered gets tasks again.
-    pub(super) fn forget_slowness(&mut self, elapsed: Duration) {
+    /// Decays all slowdowns towards 1, so that a worker that has recovered gets tasks again.
+    pub(super) fn decay_slowdowns(&mut self, elapsed: Duration) {
         let half_life_s = self.settings.health.slowdown_half_life_s;
         let factor = 0.5_f64.powf(elapsed.as_secs_f64() / half_life_s);
         for worker in self.workers.values_mut() {
-            worker.slowness = 1.0 + (worker.slowness - 1.0) * factor;
+            worker.slowdown = 1.0 + (worker.slowdown - 1.0) * factor;
         }
     }
 }
--- a/crates/teaseltrack/src/cell/planning.rs
+++ b/crates/teaseltrack/src/cell/planning.rs
@@ -1,8 +1,9 @@
-//! Which waiting task goes first.
+//! Order in which waiting tasks are assigned.
 //!
-//! Tasks that hold processors come first, by their queue's priority and by the time left until
-//! their job is late; then tasks that last, which leave a reserve free; then best-effort tasks, on
-//! workers whose processors aren't spoken for yet. Where each goes is up to [`scoring`].
+//! Batch tasks come first, then serving tasks, which leave a reserve of each worker to batch tasks,
+//! then best-effort tasks, which use CPU that no other task needs. Within a kind, stages are
+//! ordered by the lateness of their job, the priority of its queue and the job's deadline;
+//! best-effort stages by remaining work in place of the deadline. [`scoring`] chooses the worker.
 //!
 //! [`scoring`]: crate::cell::scoring
 
@@ -17,53 +18,56 @@
         interference::ImageName,
         job::Stage,
         progress::{JobState, TaskPhase},
-        worker::{Arrival, TaskKey, Worker},
+        worker::{RecentAssignment, TaskKey, Worker},
     },
     ids::{AttemptNumber, ServiceName},
     placement::Resources,
 };
 
-/// How planning shares workers.
+/// Settings of planning.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanningSettings {
-    /// Share of a worker's processors that long-running tasks leave to batch tasks.
+    /// Share of a worker's CPU that long-running tasks leave to batch tasks.
     pub batch_reserve: f64,
-    /// Wait after which a long-running task takes the reserve as well.
+    /// Waiting time after which a long-running task may use the reserve as well.
     pub reserve_wait: Duration,
-    /// Share of their declared processors that long-running tasks are taken to use.
+    /// Share of their requested CPU that long-running tasks are assumed to use.
     pub serving_utilization: f64,
-    /// Share of its declared processors that a best-effort task must find before it starts.
+    /// Share of its requested CPU that must be spare on a worker for a best-effort task to start
+    /// there.
     pub best_effort_min_share: f64,
-    /// Share of its target that no tail is to pass when a best-effort task arrives.
+    /// Share of its target that no serving task's tail may exceed after a best-effort task starts.
     pub tail_limit: f64,
-    /// Tasks on one worker of an image that may disturb what serves there.
+    /// Most tasks on one worker of a best-effort image whose interference with the worker's serving
+    /// images is not yet known.
     pub trial_tasks_per_worker: u32,
-    /// Wait after which a best-effort job with nothing running gets a task in spite of tails.
+    /// Waiting time after which a best-effort job without runs gets a task regardless of
+    /// interference.
     pub starvation_wait: Duration,
-    /// Share of a service's processors held by tasks above which it doesn't.
+    /// Reserved share of a service's CPU from which on `starvation_wait` has no effect.
     pub starvation_max_load: f64,
-    /// Time between two moves of serving tasks.
+    /// Minimum time between two moves of serving tasks.
     pub regroup_interval: Duration,
-    /// Time before a serving task is moved again.
+    /// Minimum time between two moves of the same serving task.
     pub move_cooldown: Duration,
-    /// Time after which an assigned best-effort task shows in its worker's reports.
+    /// Time until the CPU use of an assigned best-effort task appears in its worker's reports.
     pub usage_report_delay: Duration,
-    /// Head start of best-effort jobs with little left, in times of what the whole fleet needs for
-    /// what is left.
+    /// Factor on the time that the whole fleet needs for a best-effort job's remaining work; the
+    /// product delays the job in the order of best-effort jobs.
     pub remaining_work_weight: f64,
-    /// Factor on a job's objective after which it is served last.
+    /// Factor on a job's objective beyond which the job is scheduled last among its kind.
     pub long_overdue_factor: f64,
 }
 
-/// Order of kinds of task; lower goes first.
+/// Kind of a stage's tasks, in scheduling order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Kind {
+pub(super) enum TaskKind {
     Batch,
     Serving,
     BestEffort,
 }
 
-impl Kind {
+impl TaskKind {
     pub(super) fn of(stage: &Stage) -> Self {
         if stage.is_long_running {
             Self::Serving
@@ -75,29 +79,29 @@
     }
 }
 
-/// How far a job is past its objective; lower goes first.
+/// How far a job is past its objective, in scheduling order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Lateness {
-    InTime,
+    OnTime,
     Late,
-    Hopeless,
+    LongOverdue,
 }
 
-/// A stage with waiting tasks.
+/// Stage with tasks that wait to be assigned.
 #[derive(Clone, Debug)]
 struct Candidate {
-    rank: (Kind, Lateness, u32, Instant),
+    rank: (TaskKind, Lateness, u32, Instant),
     stage: TaskKey,
     waiting: Vec<u32>,
 }
 
-/// Sizes of tasks that no worker had room for in the present round; larger ones needn't be tried.
+/// Task sizes that fitted on no worker in the current planning round; larger tasks are skipped.
 #[derive(Debug, Default)]
-struct RefusedSizes {
+struct UnplaceableSizes {
     sizes: HashMap<(ServiceName, Option<ImageName>), Vec<Resources>>,
 }
 
-impl RefusedSizes {
+impl UnplaceableSizes {
     fn key(service: &str, stage: &Stage) -> (ServiceName, Option<ImageName>) {
         let image = stage.is_best_effort.then(|| stage.image.clone().unwrap_or_default());
         (service.to_owned(), image)
@@ -109,58 +113,61 @@
             && sizes.is_some_and(|sizes| sizes.iter().any(|size| stage.resources.holds(size)))
     }
 
-    /// Takes in a refusal, unless the stage asked for more than room.
-    fn note(&mut self, service: &str, stage: &Stage) {
-        let is_about_room = !stage.is_long_running
+    /// Records a size that could not be placed, unless the stage has constraints other than its
+    /// size.
+    fn record(&mut self, service: &str, stage: &Stage) {
+        let lacks_capacity = !stage.is_long_running
             && stage.required_label.is_none()
             && stage.max_per_worker.is_none();
-        if is_about_room {
+        if lacks_capacity {
             self.sizes.entry(Self::key(service, stage)).or_default().push(stage.resources);
         }
     }
 }
 
 impl Cell {
-    /// Assigns waiting tasks; the starts go out after the next commit.
+    /// Assigns waiting tasks to workers. The start orders are sent after the next commit.
     pub fn plan(&mut self, unix_now_ms: u64, now: Instant) {
         self.needs_plan = false;
         self.begin_due_occurrences(unix_now_ms);
-        self.leave_draining_workers();
-        self.forget_arrivals(now);
-        let workers = self.open_workers(now);
+        self.evacuate_draining_workers();
+        self.expire_recent_assignments(now);
+        let workers = self.eligible_workers(now);
         if workers.is_empty() {
             return;
         }
         let mut candidates = self.candidates(now);
         candidates.sort_by_key(|candidate| candidate.rank);
         let is_serving_waiting =
-            candidates.iter().any(|candidate| candidate.rank.0 == Kind::Serving);
+            candidates.iter().any(|candidate| candidate.rank.0 == TaskKind::Serving);
         for &worker in &workers {
-            self.update_headrooms(worker);
+            self.update_remaining_headrooms(worker);
         }
-        let mut refused = RefusedSizes::default();
+        let mut unplaceable = UnplaceableSizes::default();
         for candidate in &candidates {
-            self.place_stage(candidate, &workers, &mut refused, now);
+            self.place_stage(candidate, &workers, &mut unplaceable, now);
         }
         for candidate in &candidates {
-            self.start_starving(candidate, &workers, now);
+            self.relieve_starvation(candidate, &workers, now);
         }
         if !is_serving_waiting {
             self.regroup(&workers, now);
         }
     }
 
-    fn forget_arrivals(&mut self, now: Instant) {
+    fn expire_recent_assignments(&mut self, now: Instant) {
         let usage_report_delay = self.settings.planning.usage_report_delay;
         for worker in self.workers.values_mut() {
-            worker.arriving.retain(|arrival| now.duration_since(arrival.at) < usage_report_delay);
+            worker
+                .recent_assignments
+                .retain(|assignment| now.duration_since(assignment.at) < usage_report_delay);
         }
     }
 
-    fn note_arrival(&mut self, worker: WorkerKey, stage: &Stage, now: Instant) {
+    fn track_recent_assignment(&mut self, worker: WorkerKey, stage: &Stage, now: Instant) {
         if stage.is_best_effort {
             let cpu_milli = stage.resources.cpu_milli;
-            self.workers[worker].arriving.push(Arrival { at: now, cpu_milli });
+            self.workers[worker].recent_assignments.push(RecentAssignment { at: now, cpu_milli });
         }
     }
 
@@ -197,29 +204,29 @@
         job.occurrences.push(Occurrence { stages });
     }
 
-    /// Stops tasks that last on workers that are about to leave.
-    fn leave_draining_workers(&mut self) {
-        let leaving: Vec<TaskKey> = self
+    /// Stops long-running tasks on draining workers.
+    fn evacuate_draining_workers(&mut self) {
+        let evacuated: Vec<TaskKey> = self
             .workers
             .values()
             .filter(|worker| worker.status.as_ref().is_some_and(|status| status.is_draining))
             .flat_map(|worker| worker.tasks.iter().copied())
             .filter(|task| self.stage(*task).is_long_running)
             .collect();
-        for task in leaving {
+        for task in evacuated {
             self.stop_run(task);
         }
     }
 
-    fn open_workers(&self, now: Instant) -> Vec<WorkerKey> {
-        let is_open = |worker: &Worker| {
-            worker.is_confirmed
+    fn eligible_workers(&self, now: Instant) -> Vec<WorkerKey> {
+        let is_eligible = |worker: &Worker| {
+            worker.is_reconciled
                 && worker.is_reachable
                 && worker.status.as_ref().is_some_and(|status| !status.is_draining)
-                && now.duration_since(worker.last_heard) < self.settings.agent_timeout
-                && worker.refused_until.is_none_or(|until| until <= now)
+                && now.duration_since(worker.last_report_at) < self.settings.agent_timeout
+                && worker.ineligible_until.is_none_or(|until| until <= now)
         };
-        self.workers.iter().filter(|(_, worker)| is_open(worker)).map(|(key, _)| key).collect()
+        self.workers.iter().filter(|(_, worker)| is_eligible(worker)).map(|(key, _)| key).collect()
     }
 
     fn candidates(&self, now: Instant) -> Vec<Candidate> {
@@ -254,30 +261,34 @@
         candidates
     }
 
-    fn rank(&self, key: JobKey, stage: &Stage, now: Instant) -> (Kind, Lateness, u32, Instant) {
+    fn rank(&self, key: JobKey, stage: &Stage, now: Instant) -> (TaskKind, Lateness, u32, Instant) {
         let job = &self.jobs[key];
         let chain_ms = job.queue.stretch.max(1.0) * job.spec.critical_path_ms() as f64;
         let objective = Duration::from_millis(chain_ms as u64 + job.queue.objective_ms);
         let deadline = job.accepted_at + objective;
-        let hopeless =
+        let long_overdue_at =
             job.accepted_at + objective.mul_f64(self.settings.planning.long_overdue_factor);
         let lateness = if stage.is_long_running || now <= deadline {
-            Lateness::InTime
-        } else if now <= hopeless {
+            Lateness::OnTime
+        } else if now <= long_overdue_at {
             Lateness::Late
         } else {
-            Lateness::Hopeless
+            Lateness::LongOverdue
         };
-        let order =
-            if stage.is_best_effort { job.accepted_at + self.handicap(key) } else { deadline };
-        (Kind::of(stage), lateness, job.queue.priority, order)
+        let order = if stage.is_best_effort {
+            job.accepted_at + self.remaining_work_delay(key)
+        } else {
+            deadline
+        };
+        (TaskKind::of(stage), lateness, job.queue.priority, order)
     }
 
-    /// Wait after which a best-effort job goes before one of no work that has just come: jobs with
-    /// little left first, but a large one isn't put off for ever.
-    fn handicap(&self, key: JobKey) -> Duration {
+    /// Delay of a best-effort job in the scheduling order, in proportion to its remaining work.
+    /// Jobs with little remaining work come first, and jobs with much do not starve, because the
+    /// delay is added to the time of acceptance.
+    fn remaining_work_delay(&self, key: JobKey) -> Duration {
         let job = &self.jobs[key];
-        let left_core_ms = |number: usize, stage: &Stage| {
+        let remaining_core_ms = |number: usize, stage: &Stage| {
             let is_done = |task: &&Task| task.progress.phase == TaskPhase::Done;
             let done: usize = job
                 .occurrences
@@ -285,11 +296,11 @@
                 .map(|occurrence| occurrence.stages[number].iter().filter(is_done).count())
                 .sum();
             let begun = job.occurrences.len().max(1) as u64;
-            let left = (begun * u64::from(stage.task_count)).saturating_sub(done as u64);
-            left * stage.estimate_ms * stage.resources.cpu_milli / 1_000
+            let remaining = (begun * u64::from(stage.task_count)).saturating_sub(done as u64);
+            remaining * stage.estimate_ms * stage.resources.cpu_milli / 1_000
         };
         let stages = job.spec.stages.iter().enumerate();
-        let core_ms: u64 = stages.map(|(number, stage)| left_core_ms(number, stage)).sum();
+        let core_ms: u64 = stages.map(|(number, stage)| remaining_core_ms(number, stage)).sum();
         let fleet_milli: u64 = self
             .workers
             .values()
@@ -304,49 +315,50 @@
         &mut self,
         candidate: &Candidate,
         workers: &[WorkerKey],
-        refused: &mut RefusedSizes,
+        unplaceable: &mut UnplaceableSizes,
         now: Instant,
     ) {
         let stage = self.stage(candidate.stage).clone();
         let service = self.jobs[candidate.stage.job].queue.service.clone();
-        if refused.covers(&service, &stage) {
+        if unplaceable.covers(&service, &stage) {
             return;
         }
         let attempt = self.next_gang_attempt(candidate, &stage);
         let mut placed = Vec::new();
         for &index in &candidate.waiting {
             let key = TaskKey { index, ..candidate.stage };
-            let reserve = self.reserve_before(key, now);
+            let reserve = self.batch_reserve_for(key, now);
             let chosen = self.choose_worker(key, &stage, workers, reserve);
             let Some(worker) = chosen else {
-                refused.note(&service, &stage);
-                // Each serving task waits for the reserve by itself; the others are all alike.
+                unplaceable.record(&service, &stage);
+                // Whether a serving task may use the reserve depends on its own waiting time; all
+                // other tasks of a stage are interchangeable.
                 if stage.is_long_running {
                     continue;
                 }
                 break;
             };
             self.assign(key, &stage, worker, attempt);
-            self.note_arrival(worker, &stage, now);
+            self.track_recent_assignment(worker, &stage, now);
             if stage.is_best_effort {
-                self.update_headrooms(worker);
+                self.update_remaining_headrooms(worker);
             }
             placed.push(key);
         }
         if stage.is_gang && placed.len() < candidate.waiting.len() {
             for key in placed {
-                self.withdraw(key);
+                self.revert_assignment(key);
             }
             return;
         }
         for key in placed {
-            self.announce(key);
+            self.record_assignment(key);
         }
     }
 
-    /// Starts one task of a best-effort job that has waited with nothing running, although much of
-    /// the fleet is free: whatever it disturbs, agents pace it.
-    fn start_starving(&mut self, candidate: &Candidate, workers: &[WorkerKey], now: Instant) {
+    /// Assigns one task of a best-effort job that has waited without runs while much of the fleet
+    /// is free. Its interference with serving tasks is ignored, because agents pace the task.
+    fn relieve_starvation(&mut self, candidate: &Candidate, workers: &[WorkerKey], now: Instant) {
         let settings = self.settings.planning;
         let stage = self.stage(candidate.stage).clone();
         let job = candidate.stage.job;
@@ -362,14 +374,14 @@
         if !has_waited || self.reserved_share(&service) >= settings.starvation_max_load {
             return;
         }
-        let Some(worker) = self.roomiest_worker(key, &stage, workers) else { return };
+        let Some(worker) = self.least_loaded_worker(key, &stage, workers) else { return };
         self.assign(key, &stage, worker, None);
-        self.note_arrival(worker, &stage, now);
-        self.update_headrooms(worker);
-        self.announce(key);
+        self.track_recent_assignment(worker, &stage, now);
+        self.update_remaining_headrooms(worker);
+        self.record_assignment(key);
     }
 
-    /// Share of a service's processors that tasks hold.
+    /// Share of a service's CPU that is reserved by tasks.
     fn reserved_share(&self, service: &str) -> f64 {
         let (mut reserved_milli, mut capacity_milli) = (0, 0);
         for worker in self.workers.values() {
@@ -382,8 +394,9 @@
         reserved_milli as f64 / capacity_milli.max(1) as f64
     }
 
-    /// Share of a worker that a task must leave free, by how long it has waited.
-    fn reserve_before(&mut self, key: TaskKey, now: Instant) -> f64 {
+    /// Share of a worker's CPU that a task must leave free; 0 once it has waited for
+    /// `reserve_wait`.
+    fn batch_reserve_for(&mut self, key: TaskKey, now: Instant) -> f64 {
         let settings = self.settings.planning;
         let Some(task) = self.task_mut(key) else { return settings.batch_reserve };
         let waiting_since = *task.waiting_since.get_or_insert(now);
@@ -391,7 +404,7 @@
         if has_waited { 0.0 } else { settings.batch_reserve }
     }
 
-    /// One number for all members of a gang; `None` where each task counts for itself.
+    /// Common attempt number of a gang's members; `None` if the stage is not a gang.
     fn next_gang_attempt(&self, candidate: &Candidate, stage: &Stage) -> Option<AttemptNumber> {
         if !stage.is_gang {
             return None;
@@ -415,9 +428,9 @@
         worker: WorkerKey,
         attempt: Option<AttemptNumber>,
     ) {
-        let held_by = &mut self.workers[worker];
-        held_by.hold(key, stage);
-        let run = Run::new(worker, held_by.session);
+        let target = &mut self.workers[worker];
+        target.reserve(key, stage);
+        let run = Run::new(worker, target.session);
         let last = self.task(key).map_or(0, |task| task.progress.attempt);
         let attempt = attempt.unwrap_or_else(|| self.attempt_after(last));
         if let Some(task) = self.task_mut(key) {
@@ -426,12 +439,12 @@
         }
     }
 
-    fn withdraw(&mut self, key: TaskKey) {
-        self.free_run(key);
+    fn revert_assignment(&mut self, key: TaskKey) {
+        self.release_run(key);
     }
 
-    /// Marks an assignment for the next commit.
-    fn announce(&mut self, key: TaskKey) {
+    /// Schedules an assignment for the next commit.
+    fn record_assignment(&mut self, key: TaskKey) {
         let Some(name) = self.name_of(key) else { return };
         let Some(task) = self.task(key) else { return };
         let attempt = task.progress.attempt;
@@ -439,10 +452,10 @@
         self.events.push(CellEvent::Assigned {
             task: name,
             attempt,
-            worker: self.workers[worker].life.clone(),
+            worker: self.workers[worker].incarnation.clone(),
         });
         let job = &mut self.jobs[key.job];
-        job.held_starts.push((worker, key));
+        job.uncommitted_starts.push((worker, key));
         job.is_dirty = true;
         if job.state == JobState::Queued {
             job.state = JobState::Active;
--- a/crates/teaseltrack/src/cell/scoring.rs
+++ b/crates/teaseltrack/src/cell/scoring.rs
@@ -1,48 +1,50 @@
-//! Which worker suits a task.
+//! Choice of a worker for a task.
 //!
-//! Tasks that last are packed onto few workers, next to others that the same best-effort images
-//! disturb: an image that disturbs some of them then finds workers where it disturbs nobody.
-//! Best-effort tasks go where no tail is pushed beyond its aim.
+//! Serving tasks are packed onto few workers, colocated with serving tasks that the same
+//! best-effort images interfere with. A best-effort image that interferes with some serving images
+//! can then run on workers where it interferes with none. Best-effort tasks go to workers where
+//! they push no tail over its limit.
 
 use crate::cell::{
     Cell, WorkerKey,
     interference::ImageName,
     job::Stage,
-    planning::Kind,
-    worker::{TaskKey, Worker, held},
+    planning::TaskKind,
+    worker::{TaskKey, Worker, reserved_resources},
 };
 
-/// Least effect of an image on a tail; keeps shares finite.
-const LEAST_EFFECT: f64 = 0.01;
+/// Lower bound on the utilization growth per share of a worker; avoids division by zero.
+const MIN_UTILIZATION_GROWTH: f64 = 0.01;
 
-/// How well a worker suits a task; the highest goes first.
+/// Score of a worker for a task; the highest is chosen. Fields are compared in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Suitability {
-    /// Data nearby, against slowness and earlier failures there.
+pub(super) struct PlacementScore {
+    /// Data locality, less penalties for a slow worker and for one that the task avoids.
     preference: i64,
-    /// Company that suits the task.
-    pub(super) company: Company,
-    /// Processor time to compare by, in thousandths of a core.
+    /// Colocation with serving tasks.
+    pub(super) colocation: Colocation,
+    /// CPU for comparison, in thousandths of a core.
     cpu_milli: i64,
 }
 
-/// What runs beside a task that lasts; the last is the best.
+/// Serving tasks that a serving task would be colocated with; the last variant is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Company {
-    /// Tasks of one image that other best-effort images disturb, or of which that isn't known.
-    Other,
-    /// Nothing that lasts.
+pub(super) enum Colocation {
+    /// Tasks of one image with other interfering best-effort images, or whose interfering images
+    /// are not known.
+    Dissimilar,
+    /// No serving tasks.
     Empty,
-    /// Tasks of several images already.
+    /// Tasks of several images, not all of them similar.
     Mixed,
-    /// Tasks that the same best-effort images disturb.
-    Alike,
+    /// Tasks of the same image, or of images with the same interfering best-effort images.
+    Similar,
 }
 
 impl Cell {
-    /// The best worker for a task; `None` if it can go nowhere now.
+    /// Returns the worker with the best score for a task; `None` if no worker can run it now.
     ///
-    /// `reserve` is the share of a worker that a task that lasts must leave free.
+    /// `reserve` is the share of a worker's CPU that a serving task must leave free.
     pub(super) fn choose_worker(
         &self,
         key: TaskKey,
@@ -55,16 +57,16 @@
             .iter()
             .filter_map(|&candidate| {
                 let worker = &self.workers[candidate];
-                let suitability = self.suitability(worker, service, (key, stage), reserve)?;
-                Some((candidate, suitability))
+                let score = self.score(worker, service, (key, stage), reserve)?;
+                Some((candidate, score))
             })
-            .max_by_key(|(_, suitability)| *suitability)
+            .max_by_key(|(_, score)| *score)
             .map(|(worker, _)| worker)
     }
 
-    /// The worker with the most spare processors among those that a best-effort task may go to,
-    /// whatever it disturbs there.
-    pub(super) fn roomiest_worker(
+    /// Returns the worker with the most spare CPU among those that can run a best-effort task,
+    /// regardless of interference.
+    pub(super) fn least_loaded_worker(
         &self,
         key: TaskKey,
         stage: &Stage,
@@ -74,125 +76,131 @@
         let allowed = workers
             .iter()
             .copied()
-            .filter(|worker| self.may_hold(&self.workers[*worker], service, (key, stage)));
+            .filter(|worker| self.can_place(&self.workers[*worker], service, (key, stage)));
         allowed.max_by_key(|worker| self.spare_milli(&self.workers[*worker]))
     }
 
-    /// Whether a worker has room for a task and the task may run there.
-    fn may_hold(&self, worker: &Worker, service: &str, (key, stage): (TaskKey, &Stage)) -> bool {
+    /// Whether a worker has enough free capacity for a task and meets its constraints.
+    fn can_place(&self, worker: &Worker, service: &str, (key, stage): (TaskKey, &Stage)) -> bool {
         let Some(status) = worker.status.as_ref().filter(|status| status.service == service) else {
             return false;
         };
-        let is_labelled =
+        let has_label =
             stage.required_label.as_ref().is_none_or(|label| status.labels.contains(label));
         let is_below_limit =
-            stage.max_per_worker.is_none_or(|most| worker.count_of_stage(key) < most);
-        is_labelled && is_below_limit && worker.room().holds(&held(stage))
+            stage.max_per_worker.is_none_or(|max| worker.stage_task_count(key) < max);
+        has_label && is_below_limit && worker.available().holds(&reserved_resources(stage))
     }
 
-    /// How well a task would go on a worker; `None` if it can't go there.
-    pub(super) fn suitability(
+    /// Scores a worker for a task; `None` if the task can't be placed there.
+    pub(super) fn score(
         &self,
         worker: &Worker,
         service: &str,
         (key, stage): (TaskKey, &Stage),
         reserve: f64,
-    ) -> Option<Suitability> {
-        if !self.may_hold(worker, service, (key, stage)) {
+    ) -> Option<PlacementScore> {
+        if !self.can_place(worker, service, (key, stage)) {
             return None;
         }
         let status = worker.status.as_ref()?;
-        let room = worker.room();
-        let left_milli = room.cpu_milli as i64 - stage.resources.cpu_milli as i64;
-        let (company, cpu_milli) = match Kind::of(stage) {
-            // Workers without serving tasks are left to the images that disturb them.
-            Kind::Batch if worker.headrooms.is_empty() => (Company::Empty, left_milli),
-            Kind::Batch => (Company::Mixed, left_milli),
-            Kind::Serving => {
+        let available = worker.available();
+        let remaining_milli = available.cpu_milli as i64 - stage.resources.cpu_milli as i64;
+        let (colocation, cpu_milli) = match TaskKind::of(stage) {
+            // Keeps workers without serving tasks free for best-effort images that interfere.
+            TaskKind::Batch if worker.headrooms.is_empty() => (Colocation::Empty, remaining_milli),
+            TaskKind::Batch => (Colocation::Mixed, remaining_milli),
+            TaskKind::Serving => {
                 let reserve_milli = (status.capacity.cpu_milli as f64 * reserve) as i64;
-                let has_room = left_milli >= reserve_milli;
-                has_room.then(|| (self.company(worker, stage), -left_milli))?
+                let has_capacity = remaining_milli >= reserve_milli;
+                has_capacity.then(|| (self.colocation(worker, stage), -remaining_milli))?
             }
-            Kind::BestEffort => {
-                let floor = self.settings.planning.best_effort_min_share;
-                let floor_milli = (stage.resources.cpu_milli as f64 * floor) as i64;
+            TaskKind::BestEffort => {
+                let min_share = self.settings.planning.best_effort_min_share;
+                let min_milli = (stage.resources.cpu_milli as f64 * min_share) as i64;
                 let spare_milli = self.spare_milli(worker);
-                let usable_milli = (spare_milli >= floor_milli)
-                    .then(|| spare_milli.min(self.bearable_milli(worker, stage)))?;
-                (usable_milli >= floor_milli).then_some((Company::Empty, usable_milli))?
+                let usable_milli = (spare_milli >= min_milli)
+                    .then(|| spare_milli.min(self.interference_limit_milli(worker, stage)))?;
+                (usable_milli >= min_milli).then_some((Colocation::Empty, usable_milli))?
             }
         };
-        let is_near = stage.data_rack.as_ref().is_some_and(|rack| status.labels.contains(rack));
-        let is_slow = worker.slowness > self.settings.health.slowdown_threshold;
-        let is_avoided = self.task(key).and_then(|task| task.avoided).is_some_and(|avoided| {
-            self.workers.get(avoided).is_some_and(|avoided| avoided.life == worker.life)
-        });
-        let preference = i64::from(is_near) - i64::from(is_slow) - 2 * i64::from(is_avoided);
-        Some(Suitability { preference, company, cpu_milli })
+        let is_data_local =
+            stage.data_rack.as_ref().is_some_and(|rack| status.labels.contains(rack));
+        let is_slow = worker.slowdown > self.settings.health.slowdown_threshold;
+        let is_avoided =
+            self.task(key).and_then(|task| task.avoided_worker).is_some_and(|avoided_key| {
+                self.workers
+                    .get(avoided_key)
+                    .is_some_and(|avoided| avoided.incarnation == worker.incarnation)
+            });
+        let preference = i64::from(is_data_local) - i64::from(is_slow) - 2 * i64::from(is_avoided);
+        Some(PlacementScore { preference, colocation, cpu_milli })
     }
 
-    /// What a task that lasts would find on a worker.
-    fn company(&self, worker: &Worker, stage: &Stage) -> Company {
+    /// Colocation of a serving task with the serving tasks on a worker.
+    fn colocation(&self, worker: &Worker, stage: &Stage) -> Colocation {
         let image = stage.image.as_deref().unwrap_or_default();
         let present = &worker.serving_images;
-        let is_alike = |other: &ImageName| {
+        let is_similar = |other: &ImageName| {
             other == image || self.interference.estimates().have_same_interferers(image, other)
         };
         match present.len() {
-            0 => Company::Empty,
-            _ if present.keys().all(is_alike) => Company::Alike,
-            1 => Company::Other,
-            _ => Company::Mixed,
+            0 => Colocation::Empty,
+            _ if present.keys().all(is_similar) => Colocation::Similar,
+            1 => Colocation::Dissimilar,
+            _ => Colocation::Mixed,
         }
     }
 
-    /// Processor time that no task uses or is about to use.
+    /// CPU that no task uses or is about to use, in thousandths of a core.
     fn spare_milli(&self, worker: &Worker) -> i64 {
         let capacity_milli = worker.status.as_ref().map_or(0, |status| status.capacity.cpu_milli);
-        let serving =
+        let serving_milli =
             worker.demand.serving_milli as f64 * self.settings.planning.serving_utilization;
-        let arriving: u64 = worker.arriving.iter().map(|arrival| arrival.cpu_milli).sum();
-        let taken_milli = worker.demand.batch_milli
-            + serving as u64
+        let recent_milli: u64 =
+            worker.recent_assignments.iter().map(|assignment| assignment.cpu_milli).sum();
+        let committed_milli = worker.demand.batch_milli
+            + serving_milli as u64
             + worker.best_effort_used_milli.min(worker.demand.best_effort_milli)
-            + arriving;
-        capacity_milli as i64 - taken_milli as i64
+            + recent_milli;
+        capacity_milli as i64 - committed_milli as i64
     }
 
-    /// Works out what serving tasks on a worker can bear on top of what is there already.
-    pub(super) fn update_headrooms(&mut self, key: WorkerKey) {
-        let known = self.interference.estimates();
+    /// Computes the headrooms that the best-effort tasks assigned to a worker leave.
+    pub(super) fn update_remaining_headrooms(&mut self, key: WorkerKey) {
+        let estimates = self.interference.estimates();
         let worker = &self.workers[key];
         let capacity_milli = worker.status.as_ref().map_or(0, |status| status.capacity.cpu_milli);
         let growth = |serving: &str| -> f64 {
-            let asked = worker.best_effort_images.iter();
-            let growths = asked.map(|(image, asked)| {
-                let share = asked.cpu_milli as f64 / capacity_milli.max(1) as f64;
-                known.utilization_growth(serving, image) * share
+            let images = worker.best_effort_images.iter();
+            let growths = images.map(|(image, demand)| {
+                let share = demand.cpu_milli as f64 / capacity_milli.max(1) as f64;
+                estimates.utilization_growth(serving, image) * share
             });
             growths.sum()
         };
-        let left = worker.headrooms.iter();
-        let left = left.map(|(serving, headroom)| (serving.clone(), headroom - growth(serving)));
-        self.workers[key].left_headrooms = left.collect();
+        let headrooms = worker.headrooms.iter();
+        let remaining =
+            headrooms.map(|(serving, headroom)| (serving.clone(), headroom - growth(serving)));
+        self.workers[key].remaining_headrooms = remaining.collect();
     }
 
-    /// Processor time that a best-effort task may use, beside those that are there already, without
-    /// pushing a tail beyond the aim.
+    /// CPU that another best-effort task may use without pushing a colocated tail over its limit,
+    /// in thousandths of a core.
     ///
-    /// Images whose effect isn't clear yet are tried with few tasks.
-    fn bearable_milli(&self, worker: &Worker, stage: &Stage) -> i64 {
-        let known = self.interference.estimates();
+    /// The number of tasks is limited for images whose interference is not yet known.
+    fn interference_limit_milli(&self, worker: &Worker, stage: &Stage) -> i64 {
+        let estimates = self.interference.estimates();
         let image = stage.image.as_deref().unwrap_or_default();
         let capacity_milli = worker.status.as_ref().map_or(0, |status| status.capacity.cpu_milli);
-        let task_count = worker.best_effort_images.get(image).map_or(0, |asked| asked.task_count);
-        let is_tried = task_count >= self.settings.planning.trial_tasks_per_worker
-            && worker.headrooms.keys().any(|serving| known.is_inconclusive(serving, image));
-        if is_tried {
+        let task_count = worker.best_effort_images.get(image).map_or(0, |demand| demand.task_count);
+        let is_trial_full = task_count >= self.settings.planning.trial_tasks_per_worker
+            && worker.headrooms.keys().any(|serving| estimates.is_inconclusive(serving, image));
+        if is_trial_full {
             return 0;
         }
-        let shares = worker.left_headrooms.iter().map(|(serving, left)| {
-            left / known.utilization_growth(serving, image).max(LEAST_EFFECT)
+        let shares = worker.remaining_headrooms.iter().map(|(serving, remaining)| {
+            remaining / estimates.utilization_growth(serving, image).max(MIN_UTILIZATION_GROWTH)
         });
         (shares.fold(1.0, f64::min) * capacity_milli as f64) as i64
     }
--- a/crates/teaseltrack/src/cell/worker.rs
+++ b/crates/teaseltrack/src/cell/worker.rs
@@ -1,4 +1,4 @@
-//! What a cell's owner knows of one life of a worker: its lease, its room and its orders.
+//! State of one worker incarnation in the owner's memory: its lease, reserved resources and orders.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -20,175 +20,179 @@
 /// Key of a task within the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
-    /// The job.
+    /// Key of the job.
     pub job: JobKey,
-    /// Number of the occurrence.
+    /// Number of the occurrence, from 0.
     pub occurrence: u32,
-    /// Number of the stage.
+    /// Number of the stage, from 0.
     pub stage: u32,
-    /// Place in the stage.
+    /// Index of the task in the stage, from 0.
     pub index: u32,
 }
 
-/// Processor time that tasks on a worker ask for, in thousandths of a core.
+/// CPU requested by the tasks on a worker, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Tasks that hold processors and end by themselves.
+    /// Requested by batch tasks, which reserve CPU and run to completion.
     pub batch_milli: u64,
-    /// Tasks that hold processors and last.
+    /// Requested by long-running tasks, which reserve CPU.
     pub serving_milli: u64,
-    /// Tasks that take what others leave.
+    /// Requested by best-effort tasks, which reserve no CPU.
     pub best_effort_milli: u64,
 }
 
-/// What the best-effort tasks of an image ask for on a worker.
+/// Best-effort tasks of one image on a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ImageDemand {
     /// Number of tasks.
     pub task_count: u32,
-    /// Thousandths of a core.
+    /// Requested CPU, in thousandths of a core.
     pub cpu_milli: u64,
 }
 
-/// A best-effort task that was assigned lately.
+/// Best-effort task whose CPU use the worker's reports may not show yet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Arrival {
-    /// When it was assigned.
+pub struct RecentAssignment {
+    /// Time of the assignment.
     pub at: Instant,
-    /// What it asks for, in thousandths of a core.
+    /// Requested CPU, in thousandths of a core.
     pub cpu_milli: u64,
 }
 
-/// One life of a worker.
+/// Incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Name of the life.
-    pub life: WorkerIncarnation,
-    /// The agent beside it; `None` until one reports it to this owner.
+    /// Name of the incarnation.
+    pub incarnation: WorkerIncarnation,
+    /// Agent of the worker; `None` until one reports the worker to this owner.
     pub agent: Option<InstanceId>,
-    /// Last status; `None` until an agent reports it to this owner.
+    /// Last reported status; `None` until an agent reports the worker to this owner.
     pub status: Option<WorkerStatus>,
-    /// Session in force; 0 for none.
+    /// Token of the active session; 0 for none.
     pub session: SessionToken,
-    /// Start of the agent process that the session belongs to.
+    /// Start time of the agent process that the session belongs to, in milliseconds since the Unix
+    /// epoch.
     pub agent_started_unix_ms: u64,
-    /// Whether the worker's runs are known under the session.
-    pub is_confirmed: bool,
-    /// When everything on it has ended at the latest; `None` if no lease was granted.
+    /// Whether the worker has listed its runs under the session.
+    pub is_reconciled: bool,
+    /// Time by which the lease has expired on the worker, so that nothing runs there any more;
+    /// `None` if no lease was granted.
     pub lease_end: Option<Instant>,
-    /// Newest sample of its clock.
+    /// Latest known reading of the worker's clock, in milliseconds.
     pub clock_ms: u64,
-    /// When its agent last reported.
-    pub last_heard: Instant,
-    /// Whether it answered its agent's last call.
+    /// Time of the last report from its agent.
+    pub last_report_at: Instant,
+    /// Whether the worker responded to its agent's last call.
     pub is_reachable: bool,
-    /// When a refused start, or failures in a row, allow the next start.
-    pub refused_until: Option<Instant>,
-    /// Runs that failed since the last one that was done.
+    /// Time until which the worker gets no new tasks after a refused start or consecutive failures.
+    pub ineligible_until: Option<Instant>,
+    /// Number of failed runs since the last one that was done.
     pub consecutive_failures: u32,
-    /// Run times against those of the same stage elsewhere; 1 for a worker like the others.
-    pub slowness: f64,
-    /// Room held by tasks.
+    /// Moving average of run times relative to the median of their stage; 1 for a typical worker.
+    pub slowdown: f64,
+    /// Resources reserved by tasks.
     pub reserved: Resources,
-    /// Processor time asked for by kind of task.
+    /// Requested CPU by kind of task.
     pub demand: Demand,
-    /// Images of the tasks that last, with the number of tasks.
+    /// Number of long-running tasks by image.
     pub serving_images: BTreeMap<ImageName, u32>,
-    /// Growth of utilization that best-effort tasks may cause together, by serving image.
+    /// Relative growth of utilization that all best-effort tasks together may cause, by serving
+    /// image.
     pub headrooms: BTreeMap<ImageName, f64>,
-    /// What is left of `headrooms` beside the best-effort tasks that are there.
-    pub left_headrooms: Vec<(ImageName, f64)>,
-    /// What best-effort tasks ask for, by image.
+    /// What remains of `headrooms` after the expected interference of the assigned best-effort
+    /// tasks.
+    pub remaining_headrooms: Vec<(ImageName, f64)>,
+    /// Best-effort tasks by image.
     pub best_effort_images: BTreeMap<ImageName, ImageDemand>,
-    /// Processor time that best-effort tasks were last seen to use, in thousandths of a core.
+    /// CPU use of best-effort tasks in the last listing, in thousandths of a core.
     pub best_effort_used_milli: u64,
-    /// Best-effort tasks that were assigned lately and aren't seen at work yet.
-    pub arriving: Vec<Arrival>,
-    /// Tasks assigned to it.
+    /// Recently assigned best-effort tasks, whose CPU use is not reported yet.
+    pub recent_assignments: Vec<RecentAssignment>,
+    /// Tasks assigned to the worker.
     pub tasks: BTreeSet<TaskKey>,
-    /// Orders that weren't taken yet.
+    /// Orders that the agent has not accepted yet.
     pub orders: VecDeque<Order>,
-    /// Number of the first order in `orders`.
+    /// Sequence number of the first order in `orders`.
     pub first_order: u64,
-    /// Ends taken in.
-    pub seen_end: u64,
-    /// Ends taken in and committed.
+    /// Number of the last processed end.
+    pub processed_end: u64,
+    /// Number of the last end whose processing is committed.
     pub committed_end: u64,
 }
 
 impl Worker {
-    /// A worker that nothing is known of.
-    pub fn new(life: WorkerIncarnation, now: Instant) -> Self {
+    /// Creates a worker without status, lease, session or tasks.
+    pub fn new(incarnation: WorkerIncarnation, now: Instant) -> Self {
         Self {
-            life,
+            incarnation,
             agent: None,
             status: None,
             session: 0,
             agent_started_unix_ms: 0,
-            is_confirmed: false,
+            is_reconciled: false,
             lease_end: None,
             clock_ms: 0,
-            last_heard: now,
+            last_report_at: now,
             is_reachable: false,
-            refused_until: None,
+            ineligible_until: None,
             consecutive_failures: 0,
-            slowness: 1.0,
+            slowdown: 1.0,
             reserved: Resources::default(),
             demand: Demand::default(),
             serving_images: BTreeMap::new(),
             headrooms: BTreeMap::new(),
-            left_headrooms: Vec::new(),
+            remaining_headrooms: Vec::new(),
             best_effort_images: BTreeMap::new(),
             best_effort_used_milli: 0,
-            arriving: Vec::new(),
+            recent_assignments: Vec::new(),
             tasks: BTreeSet::new(),
             orders: VecDeque::new(),
             first_order: 1,
-            seen_end: 0,
+            processed_end: 0,
             committed_end: 0,
         }
     }
 
-    /// Begins a session; orders of the one before are void.
+    /// Starts a session; orders of the previous session are dropped.
     pub fn begin_session(&mut self, session: SessionToken, agent_started_unix_ms: u64) {
         self.session = session;
         self.agent_started_unix_ms = agent_started_unix_ms;
-        self.is_confirmed = false;
+        self.is_reconciled = false;
         self.orders.clear();
         self.first_order = 1;
     }
 
-    /// Queues an order.
-    pub fn order(&mut self, order: Order) {
+    /// Appends an order to the queue.
+    pub fn enqueue_order(&mut self, order: Order) {
         self.orders.push_back(order);
     }
 
-    /// Drops orders up to a number, which the agent has taken.
-    pub fn take_orders(&mut self, taken: u64) {
-        while self.first_order <= taken && self.orders.pop_front().is_some() {
+    /// Drops the orders up to and including the last one that the agent has accepted.
+    pub fn acknowledge_orders(&mut self, last_accepted: u64) {
+        while self.first_order <= last_accepted && self.orders.pop_front().is_some() {
             self.first_order += 1;
         }
     }
 
-    /// Takes in a task of the stage.
-    pub fn hold(&mut self, key: TaskKey, stage: &Stage) {
+    /// Assigns a task of the stage to the worker and reserves its resources.
+    pub fn reserve(&mut self, key: TaskKey, stage: &Stage) {
         if self.tasks.insert(key) {
-            self.reserved = self.reserved.plus(&held(stage));
+            self.reserved = self.reserved.plus(&reserved_resources(stage));
             *self.demand_of(stage) += stage.resources.cpu_milli;
             if stage.is_long_running {
                 *self.serving_images.entry(image_of(stage)).or_insert(0) += 1;
             } else if stage.is_best_effort {
-                let asked = self.best_effort_images.entry(image_of(stage)).or_default();
-                asked.task_count += 1;
-                asked.cpu_milli += stage.resources.cpu_milli;
+                let image_demand = self.best_effort_images.entry(image_of(stage)).or_default();
+                image_demand.task_count += 1;
+                image_demand.cpu_milli += stage.resources.cpu_milli;
             }
         }
     }
 
-    /// Frees a task of the stage.
-    pub fn free(&mut self, key: TaskKey, stage: &Stage) {
+    /// Removes a task of the stage from the worker and releases its resources.
+    pub fn release(&mut self, key: TaskKey, stage: &Stage) {
         if self.tasks.remove(&key) {
-            self.reserved = self.reserved.minus(&held(stage));
+            self.reserved = self.reserved.minus(&reserved_resources(stage));
             let demand = self.demand_of(stage);
             *demand = demand.saturating_sub(stage.resources.cpu_milli);
             let image = image_of(stage);
@@ -197,25 +201,25 @@
             {
                 *count -= 1;
             } else if stage.is_best_effort
-                && let Some(asked) = self.best_effort_images.get_mut(&image)
+                && let Some(image_demand) = self.best_effort_images.get_mut(&image)
             {
-                asked.task_count -= 1;
-                asked.cpu_milli -= stage.resources.cpu_milli;
+                image_demand.task_count -= 1;
+                image_demand.cpu_milli -= stage.resources.cpu_milli;
             }
             self.serving_images.retain(|_, count| *count > 0);
-            self.best_effort_images.retain(|_, asked| asked.task_count > 0);
+            self.best_effort_images.retain(|_, demand| demand.task_count > 0);
         }
     }
 
-    /// Room that nothing holds.
-    pub fn room(&self) -> Resources {
+    /// Capacity that is not reserved; zero before the first status.
+    pub fn available(&self) -> Resources {
         self.status
             .as_ref()
             .map_or(Resources::default(), |status| status.capacity.minus(&self.reserved))
     }
 
-    /// Tasks of one stage that it holds.
-    pub fn count_of_stage(&self, key: TaskKey) -> u32 {
+    /// Number of tasks on the worker of the same stage as `key`.
+    pub fn stage_task_count(&self, key: TaskKey) -> u32 {
         let first = TaskKey { index: 0, ..key };
         let last = TaskKey { index: u32::MAX, ..key };
         self.tasks.range(first..=last).count() as u32
@@ -236,8 +240,8 @@
     stage.image.clone().unwrap_or_default()
 }
 
-/// What a task of the stage holds on its worker.
-pub fn held(stage: &Stage) -> Resources {
+/// Resources that a task of the stage reserves on its worker; best-effort tasks reserve no CPU.
+pub fn reserved_resources(stage: &Stage) -> Resources {
     if stage.is_best_effort {
         Resources { cpu_milli: 0, ..stage.resources }
     } else {
