--- a/crates/teaseltrack/tests/cell.rs
+++ b/crates/teaseltrack/tests/cell.rs
@@ -1,8 +1,8 @@
-//! A cell's owner against workers that fail, hang, vanish and come back.
+//! Tests of a cell's owner under failing, unresponsive, disconnected and restarted workers.
 //!
-//! [`Fleet`] stands for workers and agents: it carries out orders, lists what runs and has ended,
-//! and asserts at each start that the task runs nowhere else, that its stage's turn has come, that
-//! there is room, and that it isn't done.
+//! [`Fleet`] simulates workers and agents: it executes orders and lists running and ended tasks. At
+//! each start it asserts that the task runs nowhere else, that the stages it depends on are done,
+//! that the worker has enough free capacity, and that the task isn't done.
 
 mod util;
 
@@ -55,7 +55,7 @@
     }
 }
 
-fn stored(id: &str, stages: Vec<Stage>) -> StoredJob {
+fn stored_job(id: &str, stages: Vec<Stage>) -> StoredJob {
     StoredJob {
         id: id.to_owned(),
         spec: JobSpec { queue: "queue".to_owned(), stages, ..JobSpec::default() },
@@ -66,12 +66,12 @@
     }
 }
 
-/// A worker with its agent.
+/// Simulated worker with its agent.
 #[derive(Debug, Default)]
 struct Instance {
     name: String,
-    life: u64,
-    agent_life: u64,
+    incarnation: u64,
+    agent_incarnation: u64,
     session: u64,
     fence: u64,
     clock_ms: u64,
@@ -79,12 +79,12 @@
     running: BTreeMap<TaskName, (u32, u64)>,
     ended: Vec<EndedTask>,
     end_count: u64,
-    taken_order: u64,
+    accepted_order: u64,
     has_listing: bool,
     refused: Vec<RefusedStart>,
     stopped: BTreeSet<(TaskName, u32)>,
-    late_starts: Vec<(u64, u64, StartOrder)>,
-    is_cut: bool,
+    delayed_starts: Vec<(u64, u64, StartOrder)>,
+    is_disconnected: bool,
 }
 
 impl Instance {
@@ -111,11 +111,11 @@
         });
         Report {
             agent: self.name.clone(),
-            started_unix_ms: self.agent_life,
+            started_unix_ms: self.agent_incarnation,
             session: self.session,
             status: Some(WorkerStatus {
                 worker: self.name.clone(),
-                started_unix_ms: self.life,
+                started_unix_ms: self.incarnation,
                 service: "service".to_owned(),
                 capacity: CAPACITY,
                 ..WorkerStatus::default()
@@ -127,13 +127,13 @@
                 ended: self.ended.clone(),
             }),
             refused: self.refused.clone(),
-            accepted_order: self.taken_order,
+            accepted_order: self.accepted_order,
             ..Report::default()
         }
     }
 }
 
-/// Workers, agents, an owner and what it has committed.
+/// Simulated workers and agents, the owner and its committed progress.
 struct Fleet {
     rng: ChaCha8Rng,
     now: Instant,
@@ -142,7 +142,7 @@
     epoch: u64,
     jobs: BTreeMap<String, StoredJob>,
     progress: BTreeMap<String, JobProgress>,
-    noted_done: BTreeSet<TaskName>,
+    committed_done: BTreeSet<TaskName>,
     done: BTreeSet<TaskName>,
     start_count: usize,
 }
@@ -153,8 +153,8 @@
         let instances = (0..instance_count)
             .map(|index| Instance {
                 name: format!("instance-{index}"),
-                life: 1,
-                agent_life: 1,
+                incarnation: 1,
+                agent_incarnation: 1,
                 clock_ms: 1_000,
                 ..Instance::default()
             })
@@ -167,7 +167,7 @@
             epoch: 1,
             jobs: BTreeMap::new(),
             progress: BTreeMap::new(),
-            noted_done: BTreeSet::new(),
+            committed_done: BTreeSet::new(),
             done: BTreeSet::new(),
             start_count: 0,
         }
@@ -185,7 +185,7 @@
         self.cell.cancel(id);
     }
 
-    /// Replaces the owner by one that knows only what is stored.
+    /// Replaces the owner by one that has only the stored jobs and progress.
     fn replace_owner(&mut self) {
         self.epoch += 1;
         let grants_end = self.now + Duration::from_secs(4);
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Commits what the owner wants committed, unless its store is lost.
+    /// Commits all pending progress of the owner.
     fn commit(&mut self) {
         while let Some(batch) = self.cell.next_commit(50) {
             self.progress.extend(batch.rows);
@@ -208,8 +208,8 @@
         self.now += STEP;
         for index in 0..self.instances.len() {
             self.run_worker(index);
-            if !self.instances[index].is_cut {
-                self.exchange(index);
+            if !self.instances[index].is_disconnected {
+                self.exchange_report(index);
             }
         }
         self.cell.tick(self.now);
@@ -222,8 +222,8 @@
         instance.clock_ms += STEP.as_millis() as u64;
         let clock_ms = instance.clock_ms;
         let (due, later) =
-            instance.late_starts.drain(..).partition(|(due_ms, ..)| *due_ms <= clock_ms);
-        instance.late_starts = later;
+            instance.delayed_starts.drain(..).partition(|(due_ms, ..)| *due_ms <= clock_ms);
+        instance.delayed_starts = later;
         let due: Vec<(u64, u64, StartOrder)> = due;
         if clock_ms >= instance.lease_until_ms {
             let running: Vec<TaskName> = instance.running.keys().cloned().collect();
@@ -250,45 +250,46 @@
         }
     }
 
-    fn exchange(&mut self, index: usize) {
+    fn exchange_report(&mut self, index: usize) {
         let report = self.instances[index].report();
-        let answer = self.cell.handle_report(report, true, self.now);
+        let response = self.cell.handle_report(report, true, self.now);
         let instance = &mut self.instances[index];
         instance.refused.clear();
-        if answer.session > instance.session {
-            instance.session = answer.session;
-            instance.fence = instance.fence.max(answer.session);
-            instance.taken_order = 0;
+        if response.session > instance.session {
+            instance.session = response.session;
+            instance.fence = instance.fence.max(response.session);
+            instance.accepted_order = 0;
             instance.has_listing = true;
             return;
         }
-        if answer.session != instance.session {
+        if response.session != instance.session {
             return;
         }
-        if let Some(until_ms) = answer.lease_until_ms {
+        if let Some(until_ms) = response.lease_until_ms {
             instance.lease_until_ms = instance.lease_until_ms.max(until_ms);
         }
-        for end in instance.ended.iter().filter(|end| end.number <= answer.forget_until) {
+        for end in instance.ended.iter().filter(|end| end.number <= response.forget_until) {
             if end.cause == EndCause::Done {
-                self.noted_done.insert(end.task.clone());
+                self.committed_done.insert(end.task.clone());
             }
         }
-        instance.ended.retain(|end| end.number > answer.forget_until);
-        for (number, order) in (answer.first_order..).zip(answer.orders) {
-            if number != self.instances[index].taken_order + 1 {
+        instance.ended.retain(|end| end.number > response.forget_until);
+        for (number, order) in (response.first_order..).zip(response.orders) {
+            if number != self.instances[index].accepted_order + 1 {
                 continue;
             }
-            self.instances[index].taken_order = number;
-            self.carry_out(index, order);
+            self.instances[index].accepted_order = number;
+            self.execute(index, order);
         }
     }
 
-    fn carry_out(&mut self, index: usize, order: Order) {
+    fn execute(&mut self, index: usize, order: Order) {
         match order {
             Order::Start(start) => {
                 let fence = self.instances[index].session;
                 if self.rng.random_range(0..15) == 0 {
-                    // No answer: carried out late, while the agent makes the attempt void.
+                    // The call times out: the agent invalidates the attempt, and the worker gets
+                    // the start late.
                     let instance = &mut self.instances[index];
                     let due_ms = instance.clock_ms + 2_000;
                     instance.stopped.insert((start.task.clone(), start.attempt));
@@ -297,7 +298,7 @@
                         attempt: start.attempt,
                         reason: "no answer, then stopped".to_owned(),
                     });
-                    instance.late_starts.push((due_ms, fence, start));
+                    instance.delayed_starts.push((due_ms, fence, start));
                 } else {
                     self.start(index, fence, start);
                 }
@@ -315,13 +316,13 @@
 
     fn start(&mut self, index: usize, fence: u64, start: StartOrder) {
         let instance = &self.instances[index];
-        let is_void = fence < instance.fence
+        let is_rejected = fence < instance.fence
             || instance.clock_ms >= instance.lease_until_ms
             || instance
                 .stopped
                 .iter()
                 .any(|(task, attempt)| *task == start.task && *attempt >= start.attempt);
-        if is_void {
+        if is_rejected {
             return;
         }
         self.check_start(index, &start);
@@ -334,13 +335,22 @@
     fn check_start(&self, index: usize, start: &StartOrder) {
         let job = &self.jobs[&start.task.job];
         for instance in &self.instances {
-            assert!(!instance.running.contains_key(&start.task), "{} runs twice", start.task);
+            assert!(
+                !instance.running.contains_key(&start.task),
+                "{} is already running",
+                start.task
+            );
         }
-        assert!(!self.noted_done.contains(&start.task), "{} is done", start.task);
-        for &earlier in &job.spec.stages[start.task.stage as usize].after {
-            for place in 0..job.spec.stages[earlier].task_count {
-                let needed = TaskName { stage: earlier as u32, index: place, ..start.task.clone() };
-                assert!(self.done.contains(&needed), "{} before {needed}", start.task);
+        assert!(!self.committed_done.contains(&start.task), "{} is already done", start.task);
+        for &dependency_stage in &job.spec.stages[start.task.stage as usize].after {
+            for place in 0..job.spec.stages[dependency_stage].task_count {
+                let dependency =
+                    TaskName { stage: dependency_stage as u32, index: place, ..start.task.clone() };
+                assert!(
+                    self.done.contains(&dependency),
+                    "{} started before its dependency {dependency} was done",
+                    start.task
+                );
             }
         }
         let mut used_milli = 0;
@@ -351,20 +361,20 @@
         let stage = &job.spec.stages[start.task.stage as usize];
         assert!(
             used_milli + stage.resources.cpu_milli <= CAPACITY.cpu_milli,
-            "{} over the capacity",
+            "{} exceeds the worker's capacity",
             start.task
         );
     }
 
     fn restart_worker(&mut self, index: usize) {
         let instance = &mut self.instances[index];
-        instance.life += 1;
+        instance.incarnation += 1;
         instance.running.clear();
         instance.ended.clear();
         instance.end_count = 0;
         instance.stopped.clear();
-        instance.late_starts.clear();
-        (instance.session, instance.fence, instance.taken_order) = (0, 0, 0);
+        instance.delayed_starts.clear();
+        (instance.session, instance.fence, instance.accepted_order) = (0, 0, 0);
         (instance.clock_ms, instance.lease_until_ms) = (1_000, 0);
         instance.has_listing = false;
         instance.refused.clear();
@@ -372,13 +382,13 @@
 
     fn restart_agent(&mut self, index: usize) {
         let instance = &mut self.instances[index];
-        instance.agent_life += 1;
-        (instance.session, instance.taken_order) = (0, 0);
+        instance.agent_incarnation += 1;
+        (instance.session, instance.accepted_order) = (0, 0);
         instance.has_listing = false;
         instance.refused.clear();
     }
 
-    fn steps(&mut self, count: usize) {
+    fn run_steps(&mut self, count: usize) {
         for _ in 0..count {
             self.step();
         }
@@ -389,89 +399,90 @@
 fn plan_runs_stages_in_order() {
     let mut fleet = Fleet::new(2, 1);
     let second = Stage { after: vec![0], ..stage(3) };
-    fleet.submit(stored("0000000000000001", vec![stage(4), second]));
-    fleet.steps(200);
+    fleet.submit(stored_job("0000000000000001", vec![stage(4), second]));
+    fleet.run_steps(200);
     assert_eq!(fleet.cell.state("0000000000000001"), Some(JobState::Completed));
 }
 
 #[test]
-fn cancel_stops_what_runs_and_starts_nothing() {
+fn cancel_stops_running_tasks_and_starts_none() {
     let mut fleet = Fleet::new(1, 1);
-    fleet.submit(stored("0000000000000001", vec![stage(12)]));
-    fleet.steps(10);
+    fleet.submit(stored_job("0000000000000001", vec![stage(12)]));
+    fleet.run_steps(10);
     fleet.cancel("0000000000000001");
-    fleet.steps(4);
+    fleet.run_steps(4);
     let started = fleet.start_count;
     assert!(fleet.instances[0].running.is_empty());
-    fleet.steps(40);
+    fleet.run_steps(40);
     assert_eq!(fleet.start_count, started);
     assert_eq!(fleet.cell.state("0000000000000001"), Some(JobState::Cancelled));
 }
 
 #[test]
-fn restore_adopts_what_still_runs() {
+fn restore_adopts_running_tasks() {
     let mut fleet = Fleet::new(2, 1);
-    fleet.submit(stored("0000000000000001", vec![stage(6)]));
-    fleet.steps(6);
+    fleet.submit(stored_job("0000000000000001", vec![stage(6)]));
+    fleet.run_steps(6);
     let started = fleet.start_count;
     fleet.replace_owner();
-    fleet.steps(3);
+    fleet.run_steps(3);
     assert!(started > 0);
-    assert_eq!(fleet.start_count, started, "nothing that runs is started anew");
+    assert_eq!(fleet.start_count, started, "running tasks must not be started again");
 }
 
 #[test]
-fn restore_waits_for_the_lease_of_a_worker_that_is_cut_off() {
+fn restore_waits_for_the_lease_of_a_disconnected_worker() {
     let mut fleet = Fleet::new(2, 1);
-    fleet.submit(stored("0000000000000001", vec![stage(8)]));
-    fleet.steps(6);
-    fleet.instances[0].is_cut = true;
+    fleet.submit(stored_job("0000000000000001", vec![stage(8)]));
+    fleet.run_steps(6);
+    fleet.instances[0].is_disconnected = true;
     fleet.replace_owner();
-    fleet.steps(400);
+    fleet.run_steps(400);
     assert_eq!(fleet.cell.state("0000000000000001"), Some(JobState::Completed));
 }
 
 #[test]
-fn report_of_ends_counts_before_the_worker_has_listed_what_runs() {
+fn report_of_ends_is_processed_before_the_first_listing_of_runs() {
     let mut fleet = Fleet::new(2, 1);
-    fleet.submit(stored("0000000000000001", vec![stage(1)]));
-    fleet.steps(4);
+    fleet.submit(stored_job("0000000000000001", vec![stage(1)]));
+    fleet.run_steps(4);
     let index = usize::from(fleet.instances[0].running.is_empty());
-    let task = fleet.instances[index].running.keys().next().expect("it runs").clone();
+    let task = fleet.instances[index].running.keys().next().expect("task is running").clone();
     fleet.instances[index].end(&task, EndCause::Done);
-    // The owner stops, and the worker leaves for good, before anyone has committed the end.
+    // The owner fails before it commits the end, and the worker disconnects for good after it has
+    // reported the end to the new owner.
     fleet.replace_owner();
     fleet.instances[index].has_listing = false;
-    fleet.exchange(index);
+    fleet.exchange_report(index);
     let instance = &fleet.instances[index];
     let listing = WorkerListing { running: None, ended: instance.ended.clone() };
     let report = Report { listing: Some(listing), ..instance.report() };
     fleet.cell.handle_report(report, true, fleet.now);
-    fleet.instances[index].is_cut = true;
+    fleet.instances[index].is_disconnected = true;
     fleet.commit();
-    fleet.steps(300);
-    assert_eq!(fleet.start_count, 1, "a task that is done isn't started again");
+    fleet.run_steps(300);
+    assert_eq!(fleet.start_count, 1, "a completed task must not be started again");
     assert_eq!(fleet.cell.state("0000000000000001"), Some(JobState::Completed));
 }
 
 #[test]
-fn report_of_an_earlier_life_is_ignored() {
+fn report_of_an_earlier_incarnation_is_ignored() {
     let mut fleet = Fleet::new(1, 1);
-    fleet.submit(stored("0000000000000001", vec![stage(2)]));
-    fleet.steps(6);
+    fleet.submit(stored_job("0000000000000001", vec![stage(2)]));
+    fleet.run_steps(6);
     let late = fleet.instances[0].report();
     fleet.restart_worker(0);
-    fleet.steps(3);
-    let answer = fleet.cell.handle_report(late, true, fleet.now);
-    assert_eq!(answer.session, 0);
-    fleet.steps(100);
+    fleet.run_steps(3);
+    let response = fleet.cell.handle_report(late, true, fleet.now);
+    assert_eq!(response.session, 0);
+    fleet.run_steps(100);
     assert_eq!(fleet.cell.state("0000000000000001"), Some(JobState::Completed));
 }
 
 #[test]
-fn plan_keeps_failing_worker_from_failing_a_job() {
+fn plan_keeps_a_failing_worker_from_failing_a_job() {
     let mut fleet = Fleet::new(3, 1);
-    fleet.submit(stored("0000000000000001", vec![stage(30)]));
+    fleet.submit(stored_job("0000000000000001", vec![stage(30)]));
     for _ in 0..400 {
         fleet.step();
         let failing: Vec<TaskName> = fleet.instances[0].running.keys().cloned().collect();
@@ -490,7 +501,7 @@
     seed_5 = { 5 },
     seed_6 = { 6 },
 )]
-fn cell_keeps_its_rules_under_random_faults(seed: u64) {
+fn cell_upholds_invariants_under_random_faults(seed: u64) {
     let mut fleet = Fleet::new(5, seed);
     let mut faults = ChaCha8Rng::seed_from_u64(seed + 1_000);
     let mut cancelled = BTreeSet::new();
@@ -498,11 +509,11 @@
         if round % 25 == 0 && round < 1_000 {
             let second = Stage { after: vec![0], ..stage(faults.random_range(1..5)) };
             let first = stage(faults.random_range(1..6));
-            fleet.submit(stored(&format!("{round:016x}"), vec![first, second]));
+            fleet.submit(stored_job(&format!("{round:016x}"), vec![first, second]));
         }
         fleet.step();
         if round > 1_000 {
-            fleet.instances.iter_mut().for_each(|instance| instance.is_cut = false);
+            fleet.instances.iter_mut().for_each(|instance| instance.is_disconnected = false);
             continue;
         }
         let index = faults.random_range(0..5);
@@ -510,8 +521,8 @@
             0 => fleet.replace_owner(),
             1 => fleet.restart_worker(index),
             2 | 3 => fleet.restart_agent(index),
-            4 => fleet.instances[index].is_cut = true,
-            5..=9 => fleet.instances[index].is_cut = false,
+            4 => fleet.instances[index].is_disconnected = true,
+            5..=9 => fleet.instances[index].is_disconnected = false,
             10 => {
                 let job = format!("{:016x}", (faults.random_range(0..=round) / 25) * 25);
                 fleet.cancel(&job);
@@ -524,6 +535,6 @@
         let state = fleet.cell.state(id);
         assert!(state.is_some_and(JobState::is_final), "{id}: {state:?}");
         let is_cancelled = state == Some(JobState::Cancelled);
-        assert!(!is_cancelled || cancelled.contains(id), "{id} cancelled by nobody");
+        assert!(!is_cancelled || cancelled.contains(id), "{id} was cancelled without a request");
     }
 }
--- a/crates/teaseltrack/tests/sharing.rs
+++ b/crates/teaseltrack/tests/sharing.rs
@@ -1,7 +1,7 @@
-//! Where serving, batch and best-effort tasks go on workers that they share.
+//! Placement of serving, batch and best-effort tasks on shared workers.
 //!
-//! Patterns: watches of two images that come one after the other; a disturbing image in a flood of
-//! best-effort work; a lone serving task on a worker that best-effort work waits for.
+//! Covers serving jobs of two images submitted in turn, a burst of best-effort tasks of an
+//! interfering image, and a lone serving task that keeps best-effort tasks off its worker.
 
 mod util;
 
@@ -27,10 +27,10 @@
 const STEP: Duration = Duration::from_millis(100);
 const CAPACITY: Resources = Resources { cpu_milli: 64_000, memory_mib: 256_000, accelerators: 0 };
 const TARGET_MS: u64 = 150;
-/// Tail of a serving task of average load.
+/// Tail of a serving task under average load.
 const TAIL_MS: u64 = 45;
 
-/// Nothing here makes progress, and nothing is to be stopped for that.
+/// The simulated tasks make no progress, so stall detection is disabled.
 const SETTINGS: CellSettings = CellSettings {
     health: HealthSettings { stall_timeout: Duration::from_secs(3_600), ..CELL_SETTINGS.health },
     ..CELL_SETTINGS
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug, Default)]
 struct Instance {
     session: u64,
-    taken_order: u64,
+    accepted_order: u64,
     running: BTreeMap<TaskName, u32>,
     ended: Vec<EndedTask>,
     end_count: u64,
 }
 
-/// Workers on which nothing ends by itself.
+/// Simulated workers whose tasks end only when they are stopped.
 struct Fleet {
     start: Instant,
     now: Instant,
@@ -84,7 +84,7 @@
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            (0..self.instances.len()).for_each(|index| self.exchange(index, None));
+            (0..self.instances.len()).for_each(|index| self.exchange_report(index, None));
             self.cell.tick(self.now);
             self.cell.plan(0, self.now);
             while self.cell.next_commit(50).is_some() {
@@ -93,22 +93,22 @@
         }
     }
 
-    /// Makes a disturbance known, as agents tell it to a new owner.
-    fn learn(&mut self, pairs: &[(&str, &str, f64)]) {
+    /// Sends interference estimates to the owner, as agents do after a takeover.
+    fn report_interference(&mut self, pairs: &[(&str, &str, f64)]) {
         let pair = |(serving, best_effort, effect): &(&str, &str, f64)| PairInterference {
             serving: (*serving).to_owned(),
             best_effort: (*best_effort).to_owned(),
             utilization_growth: *effect,
         };
-        let known = InterferenceEstimates {
+        let estimates = InterferenceEstimates {
             version: 1_000,
             pairs: pairs.iter().map(pair).collect(),
             idle_tails_ms: BTreeMap::from([("a".to_owned(), 25.0), ("b".to_owned(), 25.0)]),
         };
-        self.exchange(0, Some(known));
+        self.exchange_report(0, Some(estimates));
     }
 
-    fn exchange(&mut self, index: usize, disturbances: Option<InterferenceEstimates>) {
+    fn exchange_report(&mut self, index: usize, interference: Option<InterferenceEstimates>) {
         let instance = &self.instances[index];
         let running = instance.running.iter().map(|(task, attempt)| RunningTask {
             task: task.clone(),
@@ -134,19 +134,19 @@
                 running: Some(running.collect()),
                 ended: instance.ended.clone(),
             }),
-            accepted_order: instance.taken_order,
-            interference: disturbances,
+            accepted_order: instance.accepted_order,
+            interference,
             ..Report::default()
         };
-        let answer = self.cell.handle_report(report, true, self.now);
+        let response = self.cell.handle_report(report, true, self.now);
         let instance = &mut self.instances[index];
-        instance.session = answer.session;
-        instance.ended.retain(|end| end.number > answer.forget_until);
-        for (number, order) in (answer.first_order..).zip(answer.orders) {
-            if number != instance.taken_order + 1 {
+        instance.session = response.session;
+        instance.ended.retain(|end| end.number > response.forget_until);
+        for (number, order) in (response.first_order..).zip(response.orders) {
+            if number != instance.accepted_order + 1 {
                 continue;
             }
-            instance.taken_order = number;
+            instance.accepted_order = number;
             match order {
                 Order::Start(start) => {
                     instance.running.insert(start.task, start.attempt);
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Tasks by worker of the jobs whose identifier begins so.
+    /// Number of running tasks on each worker, of the jobs whose identifier starts with `job`.
     fn counts(&self, job: &str) -> Vec<usize> {
         let count = |instance: &Instance| {
             instance.running.keys().filter(|task| task.job.starts_with(job)).count()
@@ -228,56 +228,60 @@
 }
 
 #[test]
-fn plan_sends_a_flood_of_a_disturbing_image_where_it_disturbs_nobody() {
+fn plan_places_a_burst_of_an_interfering_image_where_it_interferes_with_no_task() {
     let mut fleet = Fleet::new(3);
     fleet.submit("serving-a", serving("a", 4));
     fleet.run(Duration::from_millis(300));
     fleet.submit("serving-b", serving("b", 4));
     fleet.run(Duration::from_millis(300));
-    fleet.learn(&[("a", "heavy", 8.0), ("b", "heavy", 0.0)]);
+    fleet.report_interference(&[("a", "heavy", 8.0), ("b", "heavy", 0.0)]);
     fleet.submit("flood", best_effort("heavy", 24));
     fleet.run(Duration::from_millis(3_000));
-    let beside_a: usize = std::iter::zip(fleet.counts("serving-a"), fleet.counts("flood"))
+    let colocated_with_a: usize = std::iter::zip(fleet.counts("serving-a"), fleet.counts("flood"))
         .filter(|(serving, _)| *serving > 0)
         .map(|(_, flood)| flood)
         .sum();
     let all: usize = fleet.counts("flood").iter().sum();
-    assert!(beside_a <= 1, "{:?} {:?}", fleet.counts("serving-a"), fleet.counts("flood"));
+    assert!(colocated_with_a <= 1, "{:?} {:?}", fleet.counts("serving-a"), fleet.counts("flood"));
     assert!(all >= 8, "{:?}", fleet.counts("flood"));
 }
 
 #[test]
-fn plan_tries_an_unseen_image_with_few_tasks_on_a_worker() {
+fn plan_limits_tasks_of_an_unknown_image_on_a_worker() {
     let mut fleet = Fleet::new(2);
     fleet.submit("serving-a", serving("a", 8));
     fleet.run(Duration::from_millis(2_000));
-    fleet.learn(&[("a", "other", 0.0)]);
+    fleet.report_interference(&[("a", "other", 0.0)]);
     fleet.submit("unseen", best_effort("unseen", 16));
     fleet.run(Duration::from_millis(300));
     let counts = fleet.counts("unseen");
     let serving = fleet.counts("serving");
     for (unseen, serving) in std::iter::zip(counts, serving) {
-        assert!(serving == 0 || unseen <= 2, "{unseen} beside {serving}");
+        assert!(
+            serving == 0 || unseen <= 2,
+            "{unseen} best-effort tasks colocated with {serving} serving tasks"
+        );
     }
 }
 
 #[test]
-fn plan_puts_batch_beside_serving_tasks_first() {
+fn plan_prefers_workers_with_serving_tasks_for_batch() {
     let mut fleet = Fleet::new(3);
     fleet.submit("serving-a", serving("a", 4));
     fleet.run(Duration::from_millis(300));
     fleet.submit("batch", batch(8));
     fleet.run(Duration::from_millis(300));
-    let beside: usize = std::iter::zip(fleet.counts("serving"), fleet.counts("batch"))
+    let colocated: usize = std::iter::zip(fleet.counts("serving"), fleet.counts("batch"))
         .filter(|(serving, _)| *serving > 0)
         .map(|(_, batch)| batch)
         .sum();
-    assert_eq!(beside, 8, "{:?}", fleet.counts("batch"));
+    assert_eq!(colocated, 8, "{:?}", fleet.counts("batch"));
 }
 
-/// A flood whose tasks are too large for what is left doesn't hide the small ones behind it.
+/// Guards against tasks that are too large for the free capacity blocking smaller ones of the same
+/// image behind them.
 #[test]
-fn plan_places_small_tasks_behind_large_ones_without_room() {
+fn plan_places_small_tasks_behind_large_ones_that_do_not_fit() {
     let mut fleet = Fleet::new(1);
     let large = Stage {
         resources: Resources { memory_mib: 200_000, ..best_effort("image", 1).resources },
@@ -301,9 +305,10 @@
     assert_eq!(fleet.counts("serving"), [2]);
 }
 
-/// A worker with one serving task whose like stand elsewhere is freed for best-effort work.
+/// A worker with a single serving task is freed for best-effort tasks if a worker with similar
+/// serving tasks can run it.
 #[test]
-fn regroup_moves_a_lone_serving_task_to_its_like() {
+fn regroup_moves_a_lone_serving_task_to_similar_ones() {
     let mut fleet = Fleet::new(3);
     fleet.submit("serving-0", serving("a", 4));
     fleet.submit("serving-1", serving("a", 1));
@@ -321,7 +326,7 @@
 }
 
 #[test]
-fn regroup_waits_while_another_task_of_the_stage_is_away() {
+fn regroup_moves_no_task_of_a_stage_that_allows_no_unavailability() {
     let mut fleet = Fleet::new(2);
     let stage = Stage { max_unavailable: Some(0), ..serving("a", 2) };
     fleet.submit("serving-a-0", Stage { max_per_worker: Some(1), ..stage });
@@ -329,14 +334,15 @@
     assert_eq!(fleet.counts("serving"), [1, 1]);
 }
 
-/// Only disturbing work is left, and every worker serves: it is started all the same.
+/// Guards against starvation of a job of an interfering image when every worker runs serving tasks:
+/// one of its tasks is started regardless of interference.
 #[test]
-fn start_starving_runs_one_task_of_a_disturbing_job_on_a_half_empty_fleet() {
+fn relieve_starvation_runs_one_task_of_an_interfering_job_on_a_half_empty_fleet() {
     let mut fleet = Fleet::new(2);
     let spread = Stage { max_per_worker: Some(1), ..serving("a", 2) };
     fleet.submit("serving-a", spread);
     fleet.run(Duration::from_millis(500));
-    fleet.learn(&[("a", "heavy", 50.0)]);
+    fleet.report_interference(&[("a", "heavy", 50.0)]);
     fleet.submit("disturbing", best_effort("heavy", 4));
     fleet.run(Duration::from_millis(1_000));
     assert_eq!(fleet.counts("disturbing").iter().sum::<usize>(), 0);
--- a/crates/teaseltrack/tests/util.rs
+++ b/crates/teaseltrack/tests/util.rs
@@ -1,4 +1,4 @@
-//! What several test files use.
+//! Settings shared by the integration tests.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -9,10 +9,10 @@
     planning::PlanningSettings,
 };
 
-/// Seed of all random tests, so that CI gives the same verdict every time.
+/// Seed of all property tests, so that CI runs are reproducible.
 const SEED: u64 = 20_261_204;
 
-/// A fixed seed and the number of cases, which `PROPTEST_CASES` multiplies outside CI.
+/// Property-test configuration with the fixed seed. `PROPTEST_CASES`, if set, multiplies `cases`.
 pub fn config(cases: u32) -> ProptestConfig {
     let factor = std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
     ProptestConfig {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Settings of a cell as on the users' platform.
+/// Settings of a cell as deployed on the platform.
 pub const CELL_SETTINGS: CellSettings = CellSettings {
     lease: Duration::from_millis(5_000),
     clock_drift: 0.02,
