--- a/crates/teaseltrack-cell/src/constants.rs
+++ b/crates/teaseltrack-cell/src/constants.rs
@@ -96,7 +96,7 @@
 /// Failures by a task's own fault are rare, so three in a row are the worker's. A run reports
 /// progress several times a second.
 const HEALTH: HealthSettings = HealthSettings {
-    max_consecutive_failures: 3,
+    failure_threshold: 3,
     probation: Duration::from_millis(3_000),
     stall_timeout: Duration::from_millis(2_000),
     slowdown_weight: 0.3,
--- a/crates/teaseltrack/src/cell/health.rs
+++ b/crates/teaseltrack/src/cell/health.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HealthSettings {
     /// Consecutive failures after which a worker is put on probation.
-    pub max_consecutive_failures: u32,
+    pub failure_threshold: u32,
     /// Duration of probation, during which the worker gets no new tasks. Each further failure
     /// before a run is done restarts it.
     pub probation: Duration,
@@ -67,7 +67,7 @@
                 }
                 let worker = &mut self.workers[key];
                 worker.consecutive_failures += 1;
-                if worker.consecutive_failures >= settings.max_consecutive_failures {
+                if worker.consecutive_failures >= settings.failure_threshold {
                     worker.ineligible_until = Some(now + settings.probation);
                 }
             }
--- a/crates/teaseltrack/tests/util.rs
+++ b/crates/teaseltrack/tests/util.rs
@@ -31,7 +31,7 @@
     agent_timeout: Duration::from_millis(1_200),
     refusal_backoff: Duration::from_millis(500),
     health: HealthSettings {
-        max_consecutive_failures: 3,
+        failure_threshold: 3,
         probation: Duration::from_millis(3_000),
         stall_timeout: Duration::from_millis(2_000),
         slowdown_weight: 0.3,
