--- a/crates/teaseltrack/src/cell/health.rs
+++ b/crates/teaseltrack/src/cell/health.rs
@@ -31,8 +31,8 @@
 }
 
 impl Run {
-    /// Updates the run from the worker's listing. A run whose gauge is 0 uses no CPU and doesn't
-    /// count as stalled.
+    /// Updates the run from the worker's listing. A gauge of 0 restarts the stall timeout, because a
+    /// run that gets no CPU can make no progress.
     pub(super) fn update_progress(&mut self, listed: &RunningTask, now: Instant) {
         if self.percent != listed.percent || self.progressed_at.is_none() || listed.gauge == 0 {
             self.progressed_at = Some(now);
@@ -114,7 +114,7 @@
     /// Stops stalled runs of batch and best-effort tasks on reachable workers. Gang members are
     /// exempt.
     pub(super) fn stop_stalled_runs(&mut self, now: Instant) {
-        let stall = self.settings.health.stall_timeout;
+        let timeout = self.settings.health.stall_timeout;
         let stalled: Vec<TaskKey> = self
             .workers
             .values()
@@ -125,7 +125,7 @@
                 let run = self.task(*key).and_then(|task| task.run.as_ref());
                 !stage.is_long_running
                     && !stage.is_gang
-                    && run.is_some_and(|run| run.is_stalled(stall, now))
+                    && run.is_some_and(|run| run.is_stalled(timeout, now))
             })
             .collect();
         for key in stalled {
--- a/crates/teaseltrack/src/cell/planning.rs
+++ b/crates/teaseltrack/src/cell/planning.rs
@@ -116,10 +116,10 @@
     /// Records a size that could not be placed, unless the stage has constraints other than its
     /// size.
     fn record(&mut self, service: &str, stage: &Stage) {
-        let lacks_capacity = !stage.is_long_running
+        let is_limited_by_size = !stage.is_long_running
             && stage.required_label.is_none()
             && stage.max_per_worker.is_none();
-        if lacks_capacity {
+        if is_limited_by_size {
             self.sizes.entry(Self::key(service, stage)).or_default().push(stage.resources);
         }
     }
@@ -177,17 +177,17 @@
             if job.state.is_final() {
                 continue;
             }
-            let begun = job.occurrences.len() as u64;
+            let started_count = job.occurrences.len() as u64;
             let due = match job.spec.schedule {
                 None => 1,
                 Some(schedule) if unix_now_ms < schedule.first_unix_ms => 0,
                 Some(schedule) => {
-                    let passed_ms = unix_now_ms - schedule.first_unix_ms;
-                    let due = passed_ms / schedule.interval_ms.max(1) + 1;
+                    let elapsed_ms = unix_now_ms - schedule.first_unix_ms;
+                    let due = elapsed_ms / schedule.interval_ms.max(1) + 1;
                     due.min(u64::from(schedule.occurrence_count))
                 }
             };
-            for _ in begun..due {
+            for _ in started_count..due {
                 self.begin_occurrence(key);
             }
         }
@@ -206,14 +206,14 @@
 
     /// Stops long-running tasks on draining workers.
     fn evacuate_draining_workers(&mut self) {
-        let evacuated: Vec<TaskKey> = self
+        let affected: Vec<TaskKey> = self
             .workers
             .values()
             .filter(|worker| worker.status.as_ref().is_some_and(|status| status.is_draining))
             .flat_map(|worker| worker.tasks.iter().copied())
             .filter(|task| self.stage(*task).is_long_running)
             .collect();
-        for task in evacuated {
+        for task in affected {
             self.stop_run(task);
         }
     }
@@ -263,8 +263,8 @@
 
     fn rank(&self, key: JobKey, stage: &Stage, now: Instant) -> (TaskKind, Lateness, u32, Instant) {
         let job = &self.jobs[key];
-        let chain_ms = job.queue.stretch.max(1.0) * job.spec.critical_path_ms() as f64;
-        let objective = Duration::from_millis(chain_ms as u64 + job.queue.objective_ms);
+        let stretched_ms = job.queue.stretch.max(1.0) * job.spec.critical_path_ms() as f64;
+        let objective = Duration::from_millis(stretched_ms as u64 + job.queue.objective_ms);
         let deadline = job.accepted_at + objective;
         let long_overdue_at =
             job.accepted_at + objective.mul_f64(self.settings.planning.long_overdue_factor);
@@ -295,8 +295,9 @@
                 .iter()
                 .map(|occurrence| occurrence.stages[number].iter().filter(is_done).count())
                 .sum();
-            let begun = job.occurrences.len().max(1) as u64;
-            let remaining = (begun * u64::from(stage.task_count)).saturating_sub(done as u64);
+            let started_count = job.occurrences.len().max(1) as u64;
+            let remaining =
+                (started_count * u64::from(stage.task_count)).saturating_sub(done as u64);
             remaining * stage.estimate_ms * stage.resources.cpu_milli / 1_000
         };
         let stages = job.spec.stages.iter().enumerate();
