--- a/crates/teaseltrack-agent/src/tasks/attempts.rs
+++ b/crates/teaseltrack-agent/src/tasks/attempts.rs
@@ -13,7 +13,7 @@
     clock::SharedClock,
     ids::{AttemptNumber, Incarnation},
     outcome::ErrorKind,
-    placement::{Resources, RoomLedger},
+    placement::{ReservationLedger, Resources},
     shard::shard_of,
     task::TaskId,
     throttle::Throttle,
@@ -105,7 +105,7 @@
 /// Owner of the instance's room and attempts.
 pub struct Attempts {
     context: AttemptContext,
-    ledger: RoomLedger,
+    ledger: ReservationLedger,
     incarnation: Option<Incarnation>,
     running: BTreeSet<AttemptKey>,
     reported_started: BTreeSet<AttemptKey>,
@@ -125,7 +125,7 @@
     /// An instance without attempts; those on the worker are taken in with the first look at it.
     pub fn new(context: AttemptContext) -> Self {
         Self {
-            ledger: RoomLedger::new(context.capacity),
+            ledger: ReservationLedger::new(context.capacity),
             context,
             incarnation: None,
             running: BTreeSet::new(),
@@ -220,7 +220,7 @@
             granted,
             incarnation: lease.map(|lease| lease.incarnation),
             capacity: if lease.is_some() { self.ledger.capacity() } else { Resources::default() },
-            room: if lease.is_some() { self.ledger.room() } else { Resources::default() },
+            room: if lease.is_some() { self.ledger.available() } else { Resources::default() },
         }
     }
 
@@ -273,7 +273,7 @@
         let checkpoint = match self.read_checkpoint(checkpoint).await {
             Ok(checkpoint) => checkpoint,
             Err(reason) => {
-                self.ledger.free(&key.task, attempt);
+                self.ledger.release(&key.task, attempt);
                 self.release(&key, &reason).await;
                 return;
             }
@@ -327,7 +327,7 @@
             return;
         }
         self.running.remove(&key);
-        self.ledger.free(&key.task, key.attempt);
+        self.ledger.release(&key.task, key.attempt);
         match (cause, answer.checkpoint) {
             (StopCause::Evict, Some(content)) => self.store_checkpoint(key, content),
             (StopCause::Evict, None) => self.release(&key, "stopped without a checkpoint").await,
@@ -383,7 +383,7 @@
                 "count" => self.running.len());
         }
         for key in std::mem::take(&mut self.running) {
-            self.ledger.free(&key.task, key.attempt);
+            self.ledger.release(&key.task, key.attempt);
         }
         self.stopping.clear();
         self.storing.clear();
@@ -458,7 +458,7 @@
     async fn finish(&mut self, key: &AttemptKey, event: AttemptEvent) {
         self.running.remove(key);
         self.stopping.remove(key);
-        self.ledger.free(&key.task, key.attempt);
+        self.ledger.release(&key.task, key.attempt);
         self.accepted.insert(key.task.clone(), (key.attempt, self.context.clock.now()));
         self.end(key, event).await;
     }
@@ -474,7 +474,7 @@
             shard: shard_of(&task.job),
             report: AttemptReport { task, attempt, event },
             capacity: self.ledger.capacity(),
-            room: self.ledger.room(),
+            room: self.ledger.available(),
             incarnation: self.incarnation.unwrap_or(0),
         };
         self.context.reports.send(message).await.ok();
@@ -492,7 +492,7 @@
 
     fn settle(&mut self) {
         self.status.running = self.running.len() as u64;
-        self.status.room = self.ledger.room();
+        self.status.room = self.ledger.available();
         self.status.share = self.throttle.share();
         self.context.status.send_replace(self.status.clone());
         let is_drained =
--- a/crates/teaseltrack-agent/src/tasks/owner/places.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/places.rs
@@ -107,7 +107,7 @@
             let order =
                 StopOrder { task: id.clone(), attempt: task.attempt, cause: StopCause::Evict };
             orders.push(order);
-            if freed.holds(needed) {
+            if freed.can_fit(needed) {
                 return Some(orders);
             }
         }
--- a/crates/teaseltrack-agent/src/tasks/placer.rs
+++ b/crates/teaseltrack-agent/src/tasks/placer.rs
@@ -12,7 +12,7 @@
     admission::Class,
     ids::{Incarnation, InstanceId},
     membership::{Member, Role},
-    placement::{Probation, Resources, RoomHints},
+    placement::{CapacityHints, Probation, Resources},
     shard::ShardState,
     task::{Decision, Placement, TaskId},
 };
@@ -37,7 +37,7 @@
 pub struct Placer {
     node: NodeHandle,
     clients: ControlClients,
-    hints: RoomHints,
+    hints: CapacityHints,
     probation: Probation,
     avoided_until: BTreeMap<InstanceId, Instant>,
     incarnations: BTreeMap<InstanceId, Incarnation>,
@@ -63,7 +63,7 @@
         Self {
             node,
             clients,
-            hints: RoomHints::default(),
+            hints: CapacityHints::default(),
             probation: Probation::default(),
             avoided_until: BTreeMap::new(),
             incarnations: BTreeMap::new(),
@@ -78,7 +78,7 @@
         capacity: Resources,
         room: Resources,
     ) {
-        self.hints.report(instance, capacity, room);
+        self.hints.update(instance, capacity, room);
         self.incarnations.insert(instance.to_owned(), incarnation);
     }
 
@@ -103,7 +103,7 @@
 
     /// Whether any known instance could hold the task when empty; true while none is known.
     pub fn is_possible(&self, resources: &Resources) -> bool {
-        self.hints.is_empty() || self.hints.is_possible(resources)
+        self.hints.is_empty() || self.hints.is_feasible(resources)
     }
 
     /// Asks a few random agents for their room, so that the hints stay fresh.
@@ -141,7 +141,7 @@
             let Some(job) = state.jobs().get(&id.job) else { continue };
             let Some(task) = state.task(id) else { continue };
             let resources = Resources::declared(&job.spec);
-            if full.iter().any(|without_room| resources.holds(without_room)) {
+            if full.iter().any(|without_room| resources.can_fit(without_room)) {
                 continue;
             }
             let is_avoided = |instance: &str| {
@@ -155,7 +155,7 @@
                 full.push(resources);
                 continue;
             };
-            self.hints.take(&instance, &resources);
+            self.hints.deduct(&instance, &resources);
             let request = RoomRequest { task: id.clone(), attempt: task.attempt + 1, resources };
             let reason = format!("roomier of two among {} known instances", self.hints.len());
             chosen.entry(instance).or_default().push(Candidate { request, reason });
@@ -205,7 +205,7 @@
         candidates: Vec<Candidate>,
         answer: RoomAnswer,
     ) -> Vec<Decision> {
-        self.hints.report(instance, answer.capacity, answer.room);
+        self.hints.update(instance, answer.capacity, answer.room);
         let Some(incarnation) = answer.incarnation else { return Vec::new() };
         self.incarnations.insert(instance.to_owned(), incarnation);
         let placement = Placement { instance: instance.to_owned(), incarnation };
--- a/crates/teaseltrack-agent/src/tasks/shard_manager.rs
+++ b/crates/teaseltrack-agent/src/tasks/shard_manager.rs
@@ -17,7 +17,7 @@
     journal::{Owner, StreamHead},
     membership::Role,
     outcome::ErrorKind,
-    shard::{SHARDS, preferred_owners, stream_of},
+    shard::{SHARD_COUNT, preferred_owners, stream_of},
 };
 use teaseltrack_platform::{
     keys,
@@ -164,7 +164,7 @@
             return;
         }
         let own = &self.context.owner.instance;
-        self.candidacies = (0..SHARDS)
+        self.candidacies = (0..SHARD_COUNT)
             .filter_map(|shard| {
                 let preferred = preferred_owners(shard, agents.iter());
                 let rank = preferred.iter().position(|agent| *agent == own)?;
--- a/crates/teaseltrack-entry/src/operators/queries.rs
+++ b/crates/teaseltrack-entry/src/operators/queries.rs
@@ -4,7 +4,7 @@
     journal::{CONFIGURATION_STREAM, EntryBody, JournalEntry, SealedEntry},
     outcome::ErrorKind,
     record::{Record, RecordKind},
-    shard::{Job, SHARDS, TaskCounts, shard_of, stream_of},
+    shard::{Job, SHARD_COUNT, TaskCounts, shard_of, stream_of},
 };
 use teaseltrack_daemon::problem::Problem;
 use teaseltrack_node::node::NodeHandle;
@@ -77,7 +77,9 @@
 
 /// Names of all streams.
 pub fn list_streams() -> Vec<String> {
-    std::iter::once(CONFIGURATION_STREAM.to_owned()).chain((0..SHARDS).map(stream_of)).collect()
+    std::iter::once(CONFIGURATION_STREAM.to_owned())
+        .chain((0..SHARD_COUNT).map(stream_of))
+        .collect()
 }
 
 /// Entries of a stream after a sequence number.
--- a/crates/teaseltrack-node/src/node.rs
+++ b/crates/teaseltrack-node/src/node.rs
@@ -190,7 +190,8 @@
             }
             NodeMessage::Digest(reply) => drop(reply.send(self.membership.digest())),
             NodeMessage::Exchange(digest, reply) => {
-                let members = self.membership.members_where_differs(&digest, EXCHANGE_BUDGET_BYTES);
+                let members =
+                    self.membership.members_in_differing_buckets(&digest, EXCHANGE_BUDGET_BYTES);
                 drop(reply.send(members));
             }
             NodeMessage::Merge(members) => self.membership.merge(members, self.clock.now()),
@@ -199,11 +200,11 @@
             }
             NodeMessage::Apply(page, reply) => drop(reply.send(self.apply(page))),
             NodeMessage::Announce(target) => {
-                self.membership.update_own(self.clock.now(), |own| own.target = target);
+                self.membership.update_local(self.clock.now(), |own| own.target = target);
                 self.publish();
             }
             NodeMessage::Leave(reply) => {
-                self.membership.update_own(self.clock.now(), |own| {
+                self.membership.update_local(self.clock.now(), |own| {
                     own.target = None;
                     own.state = MemberState::Left;
                 });
@@ -214,8 +215,8 @@
 
     fn gossip(&mut self) -> Gossip {
         Gossip {
-            sender: self.membership.own().clone(),
-            news: self.membership.take_news(MESSAGE_BUDGET_BYTES),
+            sender: self.membership.local_member().clone(),
+            news: self.membership.take_pending_updates(MESSAGE_BUDGET_BYTES),
             digest_hash: self.membership.digest_hash(),
             revision: self.configuration.revision(),
         }
--- a/crates/teaseltrack/src/cell/planning.rs
+++ b/crates/teaseltrack/src/cell/planning.rs
@@ -106,7 +106,7 @@
     fn covers(&self, service: &str, stage: &Stage) -> bool {
         let sizes = self.sizes.get(&Self::key(service, stage));
         !stage.is_long_running
-            && sizes.is_some_and(|sizes| sizes.iter().any(|size| stage.resources.holds(size)))
+            && sizes.is_some_and(|sizes| sizes.iter().any(|size| stage.resources.can_fit(size)))
     }
 
     /// Takes in a refusal, unless the stage asked for more than room.
--- a/crates/teaseltrack/src/cell/scoring.rs
+++ b/crates/teaseltrack/src/cell/scoring.rs
@@ -87,7 +87,7 @@
             stage.required_label.as_ref().is_none_or(|label| status.labels.contains(label));
         let is_below_limit =
             stage.max_per_worker.is_none_or(|most| worker.count_of_stage(key) < most);
-        is_labelled && is_below_limit && worker.room().holds(&held(stage))
+        is_labelled && is_below_limit && worker.room().can_fit(&held(stage))
     }
 
     /// How well a task would go on a worker; `None` if it can't go there.
--- a/crates/teaseltrack/src/journal.rs
+++ b/crates/teaseltrack/src/journal.rs
@@ -33,7 +33,7 @@
     },
     /// The text of an entry or the one before it was changed.
     #[snafu(display("{stream}: entry {sequence} doesn't follow from the one before it"))]
-    Broken {
+    Inconsistent {
         /// Name of the stream.
         stream: String,
         /// The first entry that doesn't fit.
@@ -195,7 +195,7 @@
         })?;
         let is_next = numbered.sequence == sequence;
         let is_sealed = chain_hash(&self.hash, &sealed.payload) == sealed.hash;
-        ensure!(is_next && is_sealed, BrokenSnafu { stream, sequence });
+        ensure!(is_next && is_sealed, InconsistentSnafu { stream, sequence });
         self.sequence = sequence;
         self.hash.clone_from(&sealed.hash);
         Ok(())
--- a/crates/teaseltrack/src/membership.rs
+++ b/crates/teaseltrack/src/membership.rs
@@ -148,7 +148,7 @@
     }
 
     /// The instance's own member.
-    pub fn own(&self) -> &Member {
+    pub fn local_member(&self) -> &Member {
         &self.known[&self.own].member
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Changes the instance's own member and raises its incarnation.
-    pub fn update_own(&mut self, now: Instant, change: impl FnOnce(&mut Member)) {
+    pub fn update_local(&mut self, now: Instant, change: impl FnOnce(&mut Member)) {
         let Some(known) = self.known.get_mut(&self.own) else { return };
         change(&mut known.member);
         known.member.incarnation += 1;
@@ -205,7 +205,7 @@
     }
 
     /// Members whose state changed lately, least often sent first, within the byte budget.
-    pub fn take_news(&mut self, budget_bytes: usize) -> Vec<Member> {
+    pub fn take_pending_updates(&mut self, budget_bytes: usize) -> Vec<Member> {
         let max_sends = (SENDS_PER_LOG * (self.known.len() as f64 + 1.0).ln()).ceil() as u32;
         let mut fresh: Vec<&mut Known> =
             self.known.values_mut().filter(|known| known.sends < max_sends).collect();
@@ -240,7 +240,7 @@
     }
 
     /// Members of the buckets in which the digests differ, within the byte budget.
-    pub fn members_where_differs(&self, other: &Digest, budget_bytes: usize) -> Vec<Member> {
+    pub fn members_in_differing_buckets(&self, other: &Digest, budget_bytes: usize) -> Vec<Member> {
         let own = self.digest();
         let mut left_bytes = budget_bytes;
         let differing = self.known.values().map(|known| &known.member).filter(|member| {
@@ -313,11 +313,11 @@
 
     /// Answers news about the instance itself that isn't its own with a higher incarnation.
     fn refute(&mut self, claim: &Member, now: Instant) {
-        let own = self.own().clone();
+        let own = self.local_member().clone();
         if claim.precedence() <= own.precedence() {
             return;
         }
-        self.update_own(now, |own| own.incarnation = own.incarnation.max(claim.incarnation));
+        self.update_local(now, |own| own.incarnation = own.incarnation.max(claim.incarnation));
     }
 
     fn store(&mut self, member: Member, now: Instant) {
--- a/crates/teaseltrack/src/placement.rs
+++ b/crates/teaseltrack/src/placement.rs
@@ -1,6 +1,6 @@
 //! Room of instances and the choice of an instance for a task.
 //!
-//! The agent's [`RoomLedger`] is the only owner of an instance's room. Shard owners choose by the
+//! The agent's [`ReservationLedger`] is the only owner of an instance's room. Shard owners choose by the
 //! room that agents reported last, two at random, and ask before they commit. Instances that fail
 //! whatever they start, while their peers succeed with the same jobs, are put on probation.
 
@@ -45,7 +45,7 @@
     }
 
     /// Whether `part` fits into this.
-    pub fn holds(&self, part: &Self) -> bool {
+    pub fn can_fit(&self, part: &Self) -> bool {
         part.cpu_milli <= self.cpu_milli
             && part.memory_mib <= self.memory_mib
             && part.accelerators <= self.accelerators
@@ -80,12 +80,12 @@
 
 /// Room of one instance and the attempts that hold it.
 #[derive(Debug)]
-pub struct RoomLedger {
+pub struct ReservationLedger {
     capacity: Resources,
     held: BTreeMap<TaskId, Held>,
 }
 
-impl RoomLedger {
+impl ReservationLedger {
     /// An instance with the given capacity for tasks.
     pub fn new(capacity: Resources) -> Self {
         Self { capacity, held: BTreeMap::new() }
@@ -97,10 +97,10 @@
     }
 
     /// Room that nothing holds.
-    pub fn room(&self) -> Resources {
+    pub fn available(&self) -> Resources {
         let used =
             self.held.values().fold(Resources::default(), |used, held| used.plus(&held.resources));
-        assert!(self.capacity.holds(&used), "instance committed beyond its capacity");
+        assert!(self.capacity.can_fit(&used), "instance committed beyond its capacity");
         self.capacity.minus(&used)
     }
 
@@ -116,7 +116,7 @@
         if let Some(held) = self.held.get(task) {
             return held.attempt == attempt;
         }
-        if !self.room().holds(&resources) {
+        if !self.available().can_fit(&resources) {
             return false;
         }
         let held = Held { attempt, resources, expires_at: Some(expires_at) };
@@ -124,7 +124,7 @@
         true
     }
 
-    /// Keeps the reserved room until [`Self::free`]; false if the attempt holds none.
+    /// Keeps the reserved room until [`Self::release`]; false if the attempt holds none.
     pub fn confirm(&mut self, task: &TaskId, attempt: AttemptNumber) -> bool {
         match self.held.get_mut(task) {
             Some(held) if held.attempt == attempt => {
@@ -136,7 +136,7 @@
     }
 
     /// Frees the room of an attempt.
-    pub fn free(&mut self, task: &TaskId, attempt: AttemptNumber) {
+    pub fn release(&mut self, task: &TaskId, attempt: AttemptNumber) {
         if self.held.get(task).is_some_and(|held| held.attempt == attempt) {
             self.held.remove(task);
         }
@@ -150,7 +150,7 @@
 
 /// What a shard owner knows of the fleet's room.
 #[derive(Debug, Default)]
-pub struct RoomHints {
+pub struct CapacityHints {
     rooms: BTreeMap<InstanceId, Hint>,
 }
 
@@ -160,14 +160,14 @@
     room: Resources,
 }
 
-impl RoomHints {
+impl CapacityHints {
     /// Takes in what an agent reported.
-    pub fn report(&mut self, instance: &str, capacity: Resources, room: Resources) {
+    pub fn update(&mut self, instance: &str, capacity: Resources, room: Resources) {
         self.rooms.insert(instance.to_owned(), Hint { capacity, room });
     }
 
     /// Counts a task that is on its way to an instance.
-    pub fn take(&mut self, instance: &str, resources: &Resources) {
+    pub fn deduct(&mut self, instance: &str, resources: &Resources) {
         if let Some(hint) = self.rooms.get_mut(instance) {
             hint.room = hint.room.minus(resources);
         }
@@ -189,8 +189,8 @@
     }
 
     /// Whether any known instance could hold the task when empty.
-    pub fn is_possible(&self, resources: &Resources) -> bool {
-        self.rooms.values().any(|hint| hint.capacity.holds(resources))
+    pub fn is_feasible(&self, resources: &Resources) -> bool {
+        self.rooms.values().any(|hint| hint.capacity.can_fit(resources))
     }
 
     /// The roomier of two random instances that have room, `avoided` ones left out.
@@ -203,7 +203,7 @@
         let fitting: Vec<(&InstanceId, &Hint)> = self
             .rooms
             .iter()
-            .filter(|(instance, hint)| hint.room.holds(resources) && !avoided(instance))
+            .filter(|(instance, hint)| hint.room.can_fit(resources) && !avoided(instance))
             .collect();
         if fitting.is_empty() {
             return None;
--- a/crates/teaseltrack/src/record.rs
+++ b/crates/teaseltrack/src/record.rs
@@ -71,7 +71,7 @@
     },
     /// A field has an impossible value.
     #[snafu(display("{field}: {message}"))]
-    Impossible {
+    InvalidValue {
         /// Name of the field.
         field: &'static str,
         /// Why the value is impossible.
@@ -223,7 +223,7 @@
     let is_good = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(is_plain);
     let message =
         format!("`{name}` must be 1 to {MAX_NAME_BYTES} ASCII letters, digits, `-`, `_` or `.`");
-    ensure!(is_good, ImpossibleSnafu { field: "name", message });
+    ensure!(is_good, InvalidValueSnafu { field: "name", message });
     Ok(())
 }
 
@@ -244,25 +244,31 @@
 fn check_service(service: &ServiceSpec) -> Result<(), RecordError> {
     let is_good = (1..=MAX_TIMEOUT_MS).contains(&service.timeout_ms);
     let message = format!("must be 1 to {MAX_TIMEOUT_MS}");
-    ensure!(is_good, ImpossibleSnafu { field: "timeout_ms", message });
+    ensure!(is_good, InvalidValueSnafu { field: "timeout_ms", message });
     Ok(())
 }
 
 fn check_job(job: &JobSpec) -> Result<(), RecordError> {
     let message = format!("must be 1 to {MAX_TASKS}");
-    ensure!((1..=MAX_TASKS).contains(&job.tasks), ImpossibleSnafu { field: "tasks", message });
+    ensure!((1..=MAX_TASKS).contains(&job.tasks), InvalidValueSnafu { field: "tasks", message });
     let message = format!("must be 0 to {}", crate::admission::MAX_URGENCY);
     let is_good = job.urgency <= crate::admission::MAX_URGENCY;
-    ensure!(is_good, ImpossibleSnafu { field: "urgency", message });
-    ensure!(!job.team.is_empty(), ImpossibleSnafu { field: "team", message: "must not be empty" });
+    ensure!(is_good, InvalidValueSnafu { field: "urgency", message });
+    ensure!(
+        !job.team.is_empty(),
+        InvalidValueSnafu { field: "team", message: "must not be empty" }
+    );
     Ok(())
 }
 
 fn check_team(team: &TeamSpec) -> Result<(), RecordError> {
     let is_positive = |value: f64| value.is_finite() && value > 0.0;
     let message = "must be above 0";
-    ensure!(is_positive(team.requests_per_s), ImpossibleSnafu { field: "requests_per_s", message });
-    ensure!(is_positive(team.burst), ImpossibleSnafu { field: "burst", message });
+    ensure!(
+        is_positive(team.requests_per_s),
+        InvalidValueSnafu { field: "requests_per_s", message }
+    );
+    ensure!(is_positive(team.burst), InvalidValueSnafu { field: "burst", message });
     Ok(())
 }
 
--- a/crates/teaseltrack/src/shard.rs
+++ b/crates/teaseltrack/src/shard.rs
@@ -18,11 +18,11 @@
 };
 
 /// Number of job shards. It is part of the names of rows and so stays as it is.
-pub const SHARDS: ShardNumber = 16;
+pub const SHARD_COUNT: ShardNumber = 16;
 
 /// The shard of a job.
 pub fn shard_of(job: &str) -> ShardNumber {
-    (xxh3_64(job.as_bytes()) % u64::from(SHARDS)) as ShardNumber
+    (xxh3_64(job.as_bytes()) % u64::from(SHARD_COUNT)) as ShardNumber
 }
 
 /// Name of a shard's journal.
--- a/crates/teaseltrack/src/task.rs
+++ b/crates/teaseltrack/src/task.rs
@@ -260,7 +260,7 @@
     },
     /// The state doesn't allow the decision.
     #[snafu(display("{decision} doesn't follow {state}"))]
-    NotAllowed {
+    InvalidTransition {
         /// Name of the state.
         state: &'static str,
         /// Name of the decision.
@@ -356,7 +356,7 @@
             (state, Transition::Cancel) if !state.is_final() => TaskState::Cancelled,
             (state, transition) => {
                 let (state, decision) = (state.name(), transition.name());
-                return NotAllowedSnafu { state, decision }.fail();
+                return InvalidTransitionSnafu { state, decision }.fail();
             }
         };
         Ok(next)
--- a/crates/teaseltrack/tests/membership.rs
+++ b/crates/teaseltrack/tests/membership.rs
@@ -29,7 +29,7 @@
         (0..FLEET).map(|index| Membership::new(member(index), now)).collect();
     for one in &mut fleet {
         one.merge((0..FLEET).map(member).collect(), now);
-        while !one.take_news(MESSAGE_BUDGET_BYTES).is_empty() {}
+        while !one.take_pending_updates(MESSAGE_BUDGET_BYTES).is_empty() {}
     }
     fleet
 }
@@ -38,10 +38,11 @@
 fn gossip_round(fleet: &mut [Membership], now: Instant, rng: &mut ChaCha8Rng) {
     for index in 0..fleet.len() {
         let Some(peer) = fleet[index].next_probe(rng) else { continue };
-        let peer = fleet.iter().position(|other| other.own().instance == peer.instance).unwrap();
+        let peer =
+            fleet.iter().position(|other| other.local_member().instance == peer.instance).unwrap();
         for (from, to) in [(index, peer), (peer, index)] {
-            let mut news = fleet[from].take_news(MESSAGE_BUDGET_BYTES);
-            news.push(fleet[from].own().clone());
+            let mut news = fleet[from].take_pending_updates(MESSAGE_BUDGET_BYTES);
+            news.push(fleet[from].local_member().clone());
             fleet[to].merge(news, now);
         }
     }
@@ -53,7 +54,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut fleet = fleet(now);
     let target = Announcement { service: "tickets".to_owned(), slots: 8 };
-    fleet[0].update_own(now, |own| own.target = Some(target.clone()));
+    fleet[0].update_local(now, |own| own.target = Some(target.clone()));
     for _ in 0..10 {
         gossip_round(&mut fleet, now, &mut rng);
     }
@@ -68,7 +69,7 @@
     let now = Instant::now();
     let mut one = Membership::new(member(0), now);
     one.merge((1..FLEET).map(member).collect(), now);
-    let news = one.take_news(MESSAGE_BUDGET_BYTES);
+    let news = one.take_pending_updates(MESSAGE_BUDGET_BYTES);
     assert!(!news.is_empty());
     let strings: usize = news
         .iter()
@@ -123,7 +124,7 @@
     let now = Instant::now();
     let fleet = fleet(now);
     let mut newcomer = Membership::new(member(FLEET), now);
-    let missing = fleet[0].members_where_differs(&newcomer.digest(), usize::MAX);
+    let missing = fleet[0].members_in_differing_buckets(&newcomer.digest(), usize::MAX);
     newcomer.merge(missing, now);
     assert_eq!(newcomer.present().count(), FLEET + 1);
 }
--- a/crates/teaseltrack/tests/tasks.rs
+++ b/crates/teaseltrack/tests/tasks.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 use teaseltrack::{
-    placement::{Probation, Resources, RoomLedger},
+    placement::{Probation, ReservationLedger, Resources},
     record::JobSpec,
     shard::ShardState,
     task::{Decision, Placement, Task, TaskId, TaskState},
@@ -182,22 +182,22 @@
     fn room_ledger_random_steps(steps in prop::collection::vec((0..4_u8, 0..12_u32, 1..4_u32, 0..5_000_u64), 1..300)) {
         let start = Instant::now();
         let capacity = Resources { cpu_milli: 8_000, memory_mib: 1_024, accelerators: 1 };
-        let mut ledger = RoomLedger::new(capacity);
+        let mut ledger = ReservationLedger::new(capacity);
         for (number, (kind, index, attempt, size)) in steps.into_iter().enumerate() {
             let now = start + Duration::from_millis(number as u64 * 100);
             let resources = Resources { cpu_milli: size, memory_mib: size / 10, accelerators: u64::from(size % 7 == 0) };
-            let room = ledger.room();
+            let room = ledger.available();
             match kind {
                 0 | 1 => {
                     let is_reserved = ledger.reserve(&id(index), attempt, resources, now + Duration::from_secs(1));
-                    let is_taken = ledger.room() != room;
-                    prop_assert!(!is_taken || (is_reserved && room.holds(&resources)));
+                    let is_taken = ledger.available() != room;
+                    prop_assert!(!is_taken || (is_reserved && room.can_fit(&resources)));
                 }
                 2 => drop(ledger.confirm(&id(index), attempt)),
-                _ => ledger.free(&id(index), attempt),
+                _ => ledger.release(&id(index), attempt),
             }
             ledger.expire(now);
-            prop_assert!(capacity.holds(&ledger.room()));
+            prop_assert!(capacity.can_fit(&ledger.available()));
         }
     }
 }
