--- a/crates/teaseltrack/src/journal.rs
+++ b/crates/teaseltrack/src/journal.rs
@@ -1,8 +1,8 @@
 //! Hash-chained journals of decisions.
 //!
-//! Every stream (the configuration, each job shard) is a row of heads and a row for each entry. An
-//! entry's hash covers the text of the entry and the hash before it, so that a reader needs to know
-//! nothing of the entry's schema to prove the chain whole. Old entries move to the object store in
+//! Each stream (the configuration and every job shard) has a head row and one row per entry. The
+//! hash of an entry covers its serialized text and the previous hash, so that a reader can verify
+//! the chain without knowledge of the entry schema. Old entries are archived to the object store in
 //! segments of a fixed number of entries.
 
 use serde::{Deserialize, Serialize};
@@ -15,12 +15,12 @@
     task::Decision,
 };
 
-/// Stream of configuration changes.
+/// Name of the stream of configuration changes.
 pub const CONFIGURATION_STREAM: &str = "configuration";
-/// Entries of one segment in the object store.
+/// Number of entries per archived segment.
 pub const SEGMENT_ENTRIES: u64 = 256;
 
-/// Why a chain isn't whole.
+/// Verification error of a hash chain.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum ChainError {
     /// An entry is missing.
@@ -31,171 +31,171 @@
         /// The missing entry.
         sequence: u64,
     },
-    /// The text of an entry or the one before it was changed.
-    #[snafu(display("{stream}: entry {sequence} doesn't follow from the one before it"))]
+    /// The sequence number or hash of an entry does not match its predecessor.
+    #[snafu(display("{stream}: entry {sequence} does not match the hash chain"))]
     Inconsistent {
         /// Name of the stream.
         stream: String,
-        /// The first entry that doesn't fit.
+        /// The first inconsistent entry.
         sequence: u64,
     },
-    /// An entry can't be read.
-    #[snafu(display("{stream}: entry {sequence} can't be read: {message}"))]
+    /// An entry cannot be parsed.
+    #[snafu(display("{stream}: entry {sequence} cannot be parsed: {message}"))]
     Unreadable {
         /// Name of the stream.
         stream: String,
         /// The entry.
         sequence: u64,
-        /// Cause.
+        /// Parse error.
         message: String,
     },
 }
 
-/// Owner of a stream for one epoch.
+/// Owner of a stream during one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     /// The owning instance.
     pub instance: InstanceId,
-    /// Number of the process on that instance.
+    /// Number of the owning process on that instance.
     pub holder: Incarnation,
     /// Address of its control port.
     pub control_address: String,
 }
 
-/// Head of a stream, one row of the table.
+/// Table row of a stream's head.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamHead {
-    /// Number of the last entry; 0 for none.
+    /// Sequence number of the last entry; 0 if the stream is empty.
     pub sequence: u64,
-    /// Number of the ownership period; 0 for a stream that nobody owns.
+    /// Epoch of the current ownership; 0 for a stream without owners.
     pub epoch: Epoch,
-    /// Hash of the last entry; empty for none.
+    /// Hash of the last entry; empty if the stream is empty.
     pub hash: String,
-    /// Owner, if there is one.
+    /// Current owner.
     pub owner: Option<Owner>,
 }
 
-/// How much of a stream has moved to the object store, one row of the table.
+/// Table row with the archival progress of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ArchiveMark {
-    /// Number of the last archived entry; 0 for none.
+    /// Sequence number of the last archived entry; 0 if none is archived.
     pub through_sequence: u64,
     /// Hash of the last archived entry.
     pub hash: String,
-    /// Number of the entry that the newest snapshot includes; 0 for none.
+    /// Sequence number of the last entry in the newest snapshot; 0 without a snapshot.
     pub snapshot_sequence: u64,
 }
 
-/// One entry of a stream.
+/// Entry of a stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JournalEntry {
-    /// Number within the stream, from 1.
+    /// Sequence number within the stream, starting at 1.
     pub sequence: u64,
-    /// Ownership period in which it was committed.
+    /// Epoch of the owner that committed the entry.
     pub epoch: Epoch,
-    /// Identifier of the transaction that committed it.
+    /// Identifier of the transaction that committed the entry.
     pub transaction: String,
     /// Time of the commit, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Operator or instance that committed it.
+    /// Operator or instance that committed the entry.
     pub author: String,
-    /// What was decided.
+    /// Content of the entry.
     pub body: EntryBody,
 }
 
-/// What an entry decided.
+/// Content of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EntryBody {
     /// A record was submitted, amended or withdrawn.
     Change {
-        /// Which of the three.
+        /// Kind of the change.
         action: ChangeAction,
         /// The record after the change.
         record: Record,
     },
-    /// A shard got another owner.
+    /// The ownership of a shard changed.
     Ownership {
-        /// The new owner; absent after a planned stop.
+        /// The new owner; absent after a graceful shutdown.
         owner: Option<Owner>,
-        /// Why.
+        /// Reason for the change.
         reason: String,
     },
-    /// Decisions on tasks, committed together.
+    /// Decisions committed in one transaction.
     Decisions(Vec<Decision>),
 }
 
-/// What an operator did with a record.
+/// Kind of a change to a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeAction {
-    /// The record is new.
+    /// The record was created.
     Submit,
-    /// The record has a new body.
+    /// The body of the record was replaced.
     Amend,
-    /// The record is no longer in force.
+    /// The record is no longer active.
     Withdraw,
 }
 
-/// An entry as it is kept: its text and the hash of the chain up to it.
+/// Stored entry with the hash of the chain up to and including it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SealedEntry {
-    /// The entry as JSON text.
+    /// JSON text of the entry.
     pub payload: String,
-    /// Hexadecimal SHA-256 of the hash before it and the text.
+    /// SHA-256 of the previous hash, a newline and the payload, in hexadecimal.
     pub hash: String,
 }
 
 impl SealedEntry {
-    /// Seals an entry behind the given hash.
+    /// Serializes an entry and chains it to the previous hash.
     pub fn seal(previous_hash: &str, entry: &JournalEntry) -> Self {
         let payload = serde_json::to_string(entry).unwrap_or_default();
         let hash = chain_hash(previous_hash, &payload);
         Self { payload, hash }
     }
 
-    /// Reads the entry.
+    /// Parses the entry.
     ///
     /// # Errors
     ///
-    /// The text isn't an entry of a known schema.
+    /// The payload does not match the schema of an entry.
     pub fn open(&self) -> Result<JournalEntry, serde_json::Error> {
         serde_json::from_str(&self.payload)
     }
 }
 
-/// Position up to which a chain was proved whole.
+/// Position up to which a chain has been verified.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainPosition {
-    /// Number of the last proved entry.
+    /// Sequence number of the last verified entry; 0 before the first.
     pub sequence: u64,
-    /// Its hash.
+    /// Hash of the last verified entry.
     pub hash: String,
 }
 
 impl ChainPosition {
-    /// Proves that the entry is the next one, and moves on to it.
+    /// Verifies that the entry follows the current position, and advances to it.
     ///
     /// # Errors
     ///
-    /// The entry is missing, or doesn't follow from the one before it.
+    /// The entry is missing, cannot be parsed, or does not match the chain.
     pub fn advance(
         &mut self,
         stream: &str,
         sealed: Option<&SealedEntry>,
     ) -> Result<(), ChainError> {
         #[derive(Deserialize)]
-        struct Numbered {
+        struct SequenceHeader {
             sequence: u64,
         }
         let sequence = self.sequence + 1;
         let sealed = sealed.context(MissingSnafu { stream, sequence })?;
-        let numbered: Numbered = serde_json::from_str(&sealed.payload).map_err(|error| {
+        let header: SequenceHeader = serde_json::from_str(&sealed.payload).map_err(|error| {
             UnreadableSnafu { stream, sequence, message: error.to_string() }.build()
         })?;
-        let is_next = numbered.sequence == sequence;
-        let is_sealed = chain_hash(&self.hash, &sealed.payload) == sealed.hash;
-        ensure!(is_next && is_sealed, InconsistentSnafu { stream, sequence });
+        let is_next = header.sequence == sequence;
+        let is_hash_valid = chain_hash(&self.hash, &sealed.payload) == sealed.hash;
+        ensure!(is_next && is_hash_valid, InconsistentSnafu { stream, sequence });
         self.sequence = sequence;
         self.hash.clone_from(&sealed.hash);
         Ok(())
--- a/crates/teaseltrack/src/lease.rs
+++ b/crates/teaseltrack/src/lease.rs
@@ -1,9 +1,10 @@
-//! Instance leases: one row of the table for each instance.
+//! Instance leases, stored as one table row per instance.
 //!
-//! The holder counts its lease from before it sent the renewal, on its own monotonic clock. A taker
-//! counts from when it first saw the row unchanged, only over time in which the store answered, and
-//! adds a margin. Before work is taken from an instance its row is marked as lapsed in a conditional
-//! transaction, so that either the holder's renewal or the taker's mark takes effect, never both.
+//! The holder measures its lease on its own monotonic clock, from before it sent the renewal. An
+//! observer measures from its first observation of the unchanged row, counts only time in which the
+//! store responded, and adds a safety margin. Before an observer reclaims work from an instance, it
+//! marks the row as lapsed in a conditional transaction, so that either the holder's renewal or the
+//! observer's mark commits, never both.
 
 use std::time::{Duration, Instant};
 
@@ -11,41 +12,42 @@
 
 use crate::ids::{Incarnation, InstanceId};
 
-/// Longest time between two observations that counts in full.
+/// Maximum time counted between two observations, so that outages of the store and pauses of the
+/// observer are not counted in full.
 const MAX_OBSERVATION_GAP: Duration = Duration::from_secs(2);
-/// Share of the lease that a taker waits on top of it.
-const MARGIN_DIVISOR: u32 = 4;
+/// Safety margin of an observer, as a divisor of the lease duration.
+const SAFETY_MARGIN_DIVISOR: u32 = 4;
 
-/// Whether an instance's work may be taken over.
+/// State of an instance's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseState {
-    /// The holder renews it.
+    /// Renewed by the holder.
     Held,
-    /// The holder gave it up after stopping all its work.
+    /// Released by the holder after it stopped all its work.
     Released,
-    /// A taker found it unrenewed.
+    /// Marked by an observer as not renewed in time.
     Lapsed,
 }
 
-/// Lease of an instance, one row of the table.
+/// Table row of an instance's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
     /// The instance.
     pub instance: InstanceId,
-    /// Goes up with every lease that doesn't continue the one before.
+    /// Incremented by every lease that does not continue the previous one.
     pub incarnation: Incarnation,
-    /// Number of the agent process that renews it; goes up with every process.
+    /// Number of the agent process that renews the lease, incremented by every restart.
     pub holder: Incarnation,
-    /// Length of the lease, in milliseconds.
+    /// Duration of the lease, in milliseconds.
     pub ttl_ms: u64,
-    /// Whether it is in force.
+    /// Whether the lease is held, released or lapsed.
     pub state: LeaseState,
     /// Identifier of the transaction that wrote the row.
     pub transaction: String,
 }
 
-/// The holder's view of its lease.
+/// Validity of a lease as measured by its holder.
 #[derive(Clone, Copy, Debug)]
 pub struct HeldLease {
     ttl: Duration,
@@ -53,59 +55,59 @@
 }
 
 impl HeldLease {
-    /// A lease whose first write was sent at the given instant.
+    /// Creates a lease whose first write was sent at `sent_at`.
     pub fn new(ttl: Duration, sent_at: Instant) -> Self {
         Self { ttl, deadline: sent_at + ttl }
     }
 
-    /// Extends the lease after a renewal that was sent at the given instant took effect.
+    /// Extends the lease after the commit of a renewal sent at `sent_at`.
     pub fn renew(&mut self, sent_at: Instant) {
         self.deadline = self.deadline.max(sent_at + self.ttl);
     }
 
-    /// Instant at which the work must have stopped.
+    /// Time by which all work under the lease must have stopped.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Whether work may go on.
+    /// Whether work under the lease may continue.
     pub fn is_valid(&self, now: Instant) -> bool {
         now < self.deadline
     }
 
-    /// Time between renewals, so that two may fail before the lease lapses.
+    /// Interval between renewals; two consecutive renewals may fail before the lease lapses.
     pub fn renewal_period(&self) -> Duration {
         self.ttl / 3
     }
 }
 
-/// A taker's view of another instance's lease.
+/// Validity of another instance's lease as measured by an observer.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseWatch {
     version: u64,
-    unchanged: Duration,
+    unchanged_for: Duration,
     observed_at: Instant,
 }
 
 impl LeaseWatch {
-    /// Starts with the first observation of a row.
+    /// Creates a watch from the first observation of the row.
     pub fn new(version: u64, now: Instant) -> Self {
-        Self { version, unchanged: Duration::ZERO, observed_at: now }
+        Self { version, unchanged_for: Duration::ZERO, observed_at: now }
     }
 
-    /// Takes in another observation, answered by the store after `sent_at`.
+    /// Records an observation whose read was sent at `sent_at`.
     pub fn observe(&mut self, version: u64, sent_at: Instant) {
         if version != self.version {
             *self = Self::new(version, sent_at);
             return;
         }
         let gap = sent_at.saturating_duration_since(self.observed_at);
-        self.unchanged += gap.min(MAX_OBSERVATION_GAP);
+        self.unchanged_for += gap.min(MAX_OBSERVATION_GAP);
         self.observed_at = self.observed_at.max(sent_at);
     }
 
-    /// Whether the holder must have stopped by now.
+    /// Whether the lease has expired on the holder's clock as well.
     pub fn is_lapsed(&self, ttl: Duration) -> bool {
-        self.unchanged >= ttl + ttl / MARGIN_DIVISOR
+        self.unchanged_for >= ttl + ttl / SAFETY_MARGIN_DIVISOR
     }
 }
--- a/crates/teaseltrack/src/membership.rs
+++ b/crates/teaseltrack/src/membership.rs
@@ -1,9 +1,11 @@
-//! Membership by random probes.
+//! Gossip membership with SWIM-style failure detection.
 //!
-//! Every period an instance probes one peer. Probe and answer carry a few members whose state changed
-//! lately, least often sent first, within a fixed byte budget. Peers whose digests differ exchange the
-//! members of the differing buckets. A peer that answers neither directly nor through others is
-//! suspected; a suspect that doesn't refute in time is dead. Correctness never depends on any of it.
+//! Each instance probes one random peer per probe period. Probes and acknowledgements piggyback
+//! recently changed members, least often sent first, within a fixed byte budget. Peers whose
+//! digests differ run an anti-entropy exchange of the members in the differing buckets. A peer
+//! that responds to neither direct nor indirect probes becomes suspect; a suspect that does not
+//! refute before the suspicion timeout is declared dead. Membership is eventually consistent, and
+//! no safety property depends on it.
 
 use std::{
     collections::BTreeMap,
@@ -16,72 +18,72 @@
 
 use crate::ids::{Incarnation, InstanceId, ServiceName, ZoneName};
 
-/// Buckets of the digest.
+/// Number of buckets in the membership digest.
 pub const DIGEST_BUCKETS: usize = 32;
-/// Bytes of members that one message may carry.
+/// Maximum size of the member updates piggybacked on one message.
 pub const MESSAGE_BUDGET_BYTES: usize = 1_000;
-/// Bytes of members that one exchange after a differing digest may carry.
+/// Maximum size of the members sent in one anti-entropy exchange.
 pub const EXCHANGE_BUDGET_BYTES: usize = 64_000;
-/// Time for which a suspect may refute.
-const SUSPICION: Duration = Duration::from_secs(2);
-/// Time for which a dead or departed member is remembered, so that old news can't revive it.
-const RETENTION: Duration = Duration::from_secs(120);
-/// Times that a change is sent, as a multiple of the logarithm of the fleet's size.
-const SENDS_PER_LOG: f64 = 3.0;
-/// Bytes of a member beyond its strings.
-const MEMBER_FIXED_BYTES: usize = 32;
-
-/// What an instance does in the fleet.
+/// Time that a suspect has to refute the suspicion before it is declared dead.
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time for which dead and departed members are kept, so that stale updates cannot revive them.
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(120);
+/// Number of times that an update is sent, as a multiple of ln(number of members + 1).
+const RETRANSMIT_MULTIPLIER: f64 = 3.0;
+/// Estimated encoded size of a member, excluding its strings.
+const MEMBER_OVERHEAD_BYTES: usize = 32;
+
+/// Role of an instance in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes requests from callers.
+    /// Accepts requests from callers.
     Entry,
-    /// Stands beside a target.
+    /// Runs colocated with a target.
     Agent,
 }
 
-/// What is believed of a member, weakest first.
+/// Observed state of a member. At equal incarnations the later variant takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Answers probes.
+    /// Responds to probes.
     Alive,
-    /// Didn't answer a probe.
+    /// Failed a probe and has not refuted the suspicion yet.
     Suspect,
-    /// Said that it stops.
+    /// Shut down gracefully.
     Left,
-    /// Didn't refute a suspicion.
+    /// Did not refute a suspicion in time.
     Dead,
 }
 
-/// A target as its agent announces it to the fleet.
+/// Target advertised to the fleet by its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Service that the target answers for.
+    /// Service provided by the target.
     pub service: ServiceName,
-    /// Requests that the target takes at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// A member as it travels between instances.
+/// Member of the fleet, as exchanged between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Name of the instance.
     pub instance: InstanceId,
-    /// What it does.
+    /// Role of the instance.
     pub role: Role,
     /// Address of its control port, `IP:port`.
     pub control_address: String,
     /// Address of its request port, `IP:port`.
     pub request_address: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Only raised by the member itself; news with a higher one wins.
+    /// Raised only by the member itself; the update with the highest incarnation takes precedence.
     pub incarnation: Incarnation,
-    /// What is believed of it.
+    /// Observed state.
     pub state: MemberState,
-    /// Its target, if it has one that takes new work.
+    /// Advertised target; `None` without a target that accepts new requests.
     pub target: Option<Announcement>,
 }
 
@@ -90,14 +92,14 @@
         (self.incarnation, self.state)
     }
 
-    /// Whether the member may get work.
+    /// Whether work may be assigned to the member: it is alive or suspect.
     pub fn is_present(&self) -> bool {
         self.state <= MemberState::Suspect
     }
 
     fn size_bytes(&self) -> usize {
         let target_bytes = self.target.as_ref().map_or(0, |target| target.service.len() + 8);
-        MEMBER_FIXED_BYTES
+        MEMBER_OVERHEAD_BYTES
             + self.instance.len()
             + self.control_address.len()
             + self.request_address.len()
@@ -115,69 +117,69 @@
     }
 }
 
-/// Digest of all members, one sum for each bucket.
+/// XOR of the member hashes of each bucket.
 pub type Digest = Vec<u64>;
 
 #[derive(Clone, Debug)]
-struct Known {
+struct TrackedMember {
     member: Member,
-    sends: u32,
+    send_count: u32,
     changed_at: Instant,
 }
 
-/// The members that one instance knows, itself included.
+/// Membership list of one instance, including itself.
 #[derive(Debug)]
 pub struct Membership {
-    own: InstanceId,
-    known: BTreeMap<InstanceId, Known>,
+    local: InstanceId,
+    members: BTreeMap<InstanceId, TrackedMember>,
     probe_order: Vec<InstanceId>,
     version: u64,
 }
 
 impl Membership {
-    /// Knows only itself.
-    pub fn new(own: Member, now: Instant) -> Self {
-        let instance = own.instance.clone();
-        let known = Known { member: own, sends: 0, changed_at: now };
+    /// Creates a list that contains only the local member.
+    pub fn new(local: Member, now: Instant) -> Self {
+        let instance = local.instance.clone();
+        let tracked = TrackedMember { member: local, send_count: 0, changed_at: now };
         Self {
-            own: instance.clone(),
-            known: BTreeMap::from([(instance, known)]),
+            local: instance.clone(),
+            members: BTreeMap::from([(instance, tracked)]),
             probe_order: Vec::new(),
             version: 1,
         }
     }
 
-    /// The instance's own member.
+    /// Member entry of the local instance.
     pub fn local_member(&self) -> &Member {
-        &self.known[&self.own].member
+        &self.members[&self.local].member
     }
 
-    /// Number that goes up with every change.
+    /// Change counter, incremented by every change to the list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All members that may get work.
+    /// Members that are alive or suspect, including the local one.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
-        self.known.values().map(|known| &known.member).filter(|member| member.is_present())
+        self.members.values().map(|tracked| &tracked.member).filter(|member| member.is_present())
     }
 
-    /// A member by name, in whatever state.
+    /// Looks up a member by instance name, in any state.
     pub fn member(&self, instance: &str) -> Option<&Member> {
-        self.known.get(instance).map(|known| &known.member)
+        self.members.get(instance).map(|tracked| &tracked.member)
     }
 
-    /// Changes the instance's own member and raises its incarnation.
+    /// Changes the local member and increments its incarnation.
     pub fn update_local(&mut self, now: Instant, change: impl FnOnce(&mut Member)) {
-        let Some(known) = self.known.get_mut(&self.own) else { return };
-        change(&mut known.member);
-        known.member.incarnation += 1;
-        known.sends = 0;
-        known.changed_at = now;
+        let Some(tracked) = self.members.get_mut(&self.local) else { return };
+        change(&mut tracked.member);
+        tracked.member.incarnation += 1;
+        tracked.send_count = 0;
+        tracked.changed_at = now;
         self.version += 1;
     }
 
-    /// The next peer to probe: each once, in random order, then anew.
+    /// Next peer to probe. Visits all peers in random order, then reshuffles.
     pub fn next_probe(&mut self, rng: &mut impl Rng) -> Option<Member> {
         loop {
             if self.probe_order.is_empty() {
@@ -192,10 +194,10 @@
         }
     }
 
-    /// Up to `count` random peers, `except` left out.
-    pub fn sample(&self, count: usize, except: &str, rng: &mut impl Rng) -> Vec<Member> {
+    /// Up to `count` random peers other than `excluded`.
+    pub fn sample(&self, count: usize, excluded: &str, rng: &mut impl Rng) -> Vec<Member> {
         let mut peers: Vec<&Member> =
-            self.peers().filter(|member| member.instance != except).collect();
+            self.peers().filter(|member| member.instance != excluded).collect();
         let mut sample = Vec::with_capacity(count);
         while sample.len() < count && !peers.is_empty() {
             let index = rng.random_range(0..peers.len());
@@ -204,125 +206,136 @@
         sample
     }
 
-    /// Members whose state changed lately, least often sent first, within the byte budget.
+    /// Takes the pending updates that fit into the byte budget, least often sent first.
     pub fn take_pending_updates(&mut self, budget_bytes: usize) -> Vec<Member> {
-        let max_sends = (SENDS_PER_LOG * (self.known.len() as f64 + 1.0).ln()).ceil() as u32;
-        let mut fresh: Vec<&mut Known> =
-            self.known.values_mut().filter(|known| known.sends < max_sends).collect();
-        fresh.sort_by_key(|known| known.sends);
-        let mut left_bytes = budget_bytes;
-        let mut news = Vec::new();
-        for known in fresh {
-            let size_bytes = known.member.size_bytes();
-            if size_bytes > left_bytes {
+        let max_send_count =
+            (RETRANSMIT_MULTIPLIER * (self.members.len() as f64 + 1.0).ln()).ceil() as u32;
+        let mut pending: Vec<&mut TrackedMember> = self
+            .members
+            .values_mut()
+            .filter(|tracked| tracked.send_count < max_send_count)
+            .collect();
+        pending.sort_by_key(|tracked| tracked.send_count);
+        let mut remaining_bytes = budget_bytes;
+        let mut updates = Vec::new();
+        for tracked in pending {
+            let size_bytes = tracked.member.size_bytes();
+            if size_bytes > remaining_bytes {
                 break;
             }
-            left_bytes -= size_bytes;
-            known.sends += 1;
-            news.push(known.member.clone());
+            remaining_bytes -= size_bytes;
+            tracked.send_count += 1;
+            updates.push(tracked.member.clone());
         }
-        news
+        updates
     }
 
-    /// Digest of all members.
+    /// Digest of all members, for comparison with a peer's.
     pub fn digest(&self) -> Digest {
         let mut digest = vec![0_u64; DIGEST_BUCKETS];
-        for known in self.known.values() {
-            digest[known.member.bucket()] ^= known.member.digest();
+        for tracked in self.members.values() {
+            digest[tracked.member.bucket()] ^= tracked.member.digest();
         }
         digest
     }
 
-    /// Hash over the digest, equal where the members are equal.
+    /// Hash of the digest; equal membership lists have equal hashes.
     pub fn digest_hash(&self) -> u64 {
         let bytes: Vec<u8> = self.digest().into_iter().flat_map(u64::to_le_bytes).collect();
         xxh3_64(&bytes)
     }
 
-    /// Members of the buckets in which the digests differ, within the byte budget.
-    pub fn members_in_differing_buckets(&self, other: &Digest, budget_bytes: usize) -> Vec<Member> {
-        let own = self.digest();
-        let mut left_bytes = budget_bytes;
-        let differing = self.known.values().map(|known| &known.member).filter(|member| {
+    /// Members of the buckets that differ from the peer's digest, within the byte budget.
+    pub fn members_in_differing_buckets(
+        &self,
+        peer_digest: &Digest,
+        budget_bytes: usize,
+    ) -> Vec<Member> {
+        let local_digest = self.digest();
+        let mut remaining_bytes = budget_bytes;
+        let differing = self.members.values().map(|tracked| &tracked.member).filter(|member| {
             let bucket = member.bucket();
-            other.get(bucket) != Some(&own[bucket])
+            peer_digest.get(bucket) != Some(&local_digest[bucket])
         });
         differing
             .take_while(|member| {
                 let size_bytes = member.size_bytes();
-                let fits = size_bytes <= left_bytes;
-                left_bytes = left_bytes.saturating_sub(size_bytes);
+                let fits = size_bytes <= remaining_bytes;
+                remaining_bytes = remaining_bytes.saturating_sub(size_bytes);
                 fits
             })
             .cloned()
             .collect()
     }
 
-    /// Takes in news from a peer.
-    pub fn merge(&mut self, news: Vec<Member>, now: Instant) {
-        for member in news {
-            self.merge_one(member, now);
+    /// Merges member updates from a peer.
+    pub fn merge(&mut self, updates: Vec<Member>, now: Instant) {
+        for member in updates {
+            self.merge_member(member, now);
         }
     }
 
-    /// Suspects a member that didn't answer.
+    /// Marks an alive member as suspect after failed probes.
     pub fn suspect(&mut self, instance: &str, now: Instant) {
-        let Some(known) = self.known.get(instance) else { return };
-        if known.member.state != MemberState::Alive || instance == self.own {
+        let Some(tracked) = self.members.get(instance) else { return };
+        if tracked.member.state != MemberState::Alive || instance == self.local {
             return;
         }
-        let member = Member { state: MemberState::Suspect, ..known.member.clone() };
-        self.store(member, now);
+        let member = Member { state: MemberState::Suspect, ..tracked.member.clone() };
+        self.upsert(member, now);
     }
 
-    /// Declares suspects dead that didn't refute, and forgets members that are long gone.
+    /// Declares suspects dead after the suspicion timeout and purges expired tombstones.
     pub fn expire(&mut self, now: Instant) {
         let overdue: Vec<Member> = self
-            .known
+            .members
             .values()
-            .filter(|known| known.member.state == MemberState::Suspect)
-            .filter(|known| now.saturating_duration_since(known.changed_at) >= SUSPICION)
-            .map(|known| Member { state: MemberState::Dead, ..known.member.clone() })
+            .filter(|tracked| tracked.member.state == MemberState::Suspect)
+            .filter(|tracked| {
+                now.saturating_duration_since(tracked.changed_at) >= SUSPICION_TIMEOUT
+            })
+            .map(|tracked| Member { state: MemberState::Dead, ..tracked.member.clone() })
             .collect();
         for member in overdue {
-            self.store(member, now);
+            self.upsert(member, now);
         }
-        self.known.retain(|_, known| {
-            let age = now.saturating_duration_since(known.changed_at);
-            known.member.is_present() || age < RETENTION
+        self.members.retain(|_, tracked| {
+            let age = now.saturating_duration_since(tracked.changed_at);
+            tracked.member.is_present() || age < TOMBSTONE_RETENTION
         });
     }
 
     fn peers(&self) -> impl Iterator<Item = &Member> {
-        self.present().filter(|member| member.instance != self.own)
+        self.present().filter(|member| member.instance != self.local)
     }
 
-    fn merge_one(&mut self, member: Member, now: Instant) {
-        if member.instance == self.own {
+    fn merge_member(&mut self, member: Member, now: Instant) {
+        if member.instance == self.local {
             self.refute(&member, now);
             return;
         }
-        let known = self.known.get(&member.instance);
-        if known.is_none() && !member.is_present() {
+        let tracked = self.members.get(&member.instance);
+        if tracked.is_none() && !member.is_present() {
             return;
         }
-        if known.is_none_or(|known| member.precedence() > known.member.precedence()) {
-            self.store(member, now);
+        if tracked.is_none_or(|tracked| member.precedence() > tracked.member.precedence()) {
+            self.upsert(member, now);
         }
     }
 
-    /// Answers news about the instance itself that isn't its own with a higher incarnation.
+    /// Refutes an update about the local member that takes precedence over its current state, by
+    /// raising the incarnation.
     fn refute(&mut self, claim: &Member, now: Instant) {
-        let own = self.local_member().clone();
-        if claim.precedence() <= own.precedence() {
+        let local = self.local_member().clone();
+        if claim.precedence() <= local.precedence() {
             return;
         }
         self.update_local(now, |own| own.incarnation = own.incarnation.max(claim.incarnation));
     }
 
-    fn store(&mut self, member: Member, now: Instant) {
-        let known = Known { member, sends: 0, changed_at: now };
-        self.known.insert(known.member.instance.clone(), known);
+    fn upsert(&mut self, member: Member, now: Instant) {
+        let tracked = TrackedMember { member, send_count: 0, changed_at: now };
+        self.members.insert(tracked.member.instance.clone(), tracked);
         self.version += 1;
     }
 }
--- a/crates/teaseltrack/src/placement.rs
+++ b/crates/teaseltrack/src/placement.rs
@@ -1,8 +1,10 @@
-//! Room of instances and the choice of an instance for a task.
+//! Capacity of instances and placement of tasks.
 //!
-//! The agent's [`ReservationLedger`] is the only owner of an instance's room. Shard owners choose by the
-//! room that agents reported last, two at random, and ask before they commit. Instances that fail
-//! whatever they start, while their peers succeed with the same jobs, are put on probation.
+//! The agent's [`ReservationLedger`] is the sole authority on an instance's capacity. Shard owners
+//! keep the free capacity last reported by agents, choose between two random candidates, and
+//! reserve capacity on the chosen instance before they commit the assignment. An instance that
+//! fails consecutive tasks, at least one of whose jobs succeeds on another instance, is put on
+//! probation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,24 +20,25 @@
     task::TaskId,
 };
 
-/// Failures without a success before an instance is put on probation.
-const FAILURES_BEFORE_PROBATION: u32 = 3;
-/// Time on probation before one task is tried again.
-const PROBATION: Duration = Duration::from_secs(30);
+/// Consecutive failures after which an instance may be put on probation.
+const PROBATION_FAILURE_THRESHOLD: u32 = 3;
+/// Time for which an instance on probation gets no tasks. Failures stay counted afterwards until a
+/// success, so that a single further failure renews the probation.
+const PROBATION_PERIOD: Duration = Duration::from_secs(30);
 
-/// Processors, memory and accelerators.
+/// Amounts of CPU, memory and accelerators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Thousandths of a core.
+    /// CPU, in millicores.
     pub cpu_milli: u64,
-    /// Mebibytes.
+    /// Memory, in MiB.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators.
     pub accelerators: u64,
 }
 
 impl Resources {
-    /// What a task of the job declares.
+    /// Resources that the job declares for each task.
     pub fn declared(spec: &JobSpec) -> Self {
         Self {
             cpu_milli: spec.cpu_milli,
@@ -44,14 +47,14 @@
         }
     }
 
-    /// Whether `part` fits into this.
-    pub fn can_fit(&self, part: &Self) -> bool {
-        part.cpu_milli <= self.cpu_milli
-            && part.memory_mib <= self.memory_mib
-            && part.accelerators <= self.accelerators
+    /// Whether `requested` fits into these resources.
+    pub fn can_fit(&self, requested: &Self) -> bool {
+        requested.cpu_milli <= self.cpu_milli
+            && requested.memory_mib <= self.memory_mib
+            && requested.accelerators <= self.accelerators
     }
 
-    /// The sum of both.
+    /// Sum of both.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli + other.cpu_milli,
@@ -60,7 +63,7 @@
         }
     }
 
-    /// What is left of this after `other`, at least nothing.
+    /// Difference, saturating at zero.
     pub fn minus(&self, other: &Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -70,42 +73,47 @@
     }
 }
 
-/// Room that is held for an attempt.
+/// Capacity reserved for an attempt; confirmed if `expires_at` is `None`.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Reservation {
     attempt: AttemptNumber,
     resources: Resources,
     expires_at: Option<Instant>,
 }
 
-/// Room of one instance and the attempts that hold it.
+/// Capacity of one instance and its reservations, at most one per task.
 #[derive(Debug)]
 pub struct ReservationLedger {
     capacity: Resources,
-    held: BTreeMap<TaskId, Held>,
+    reservations: BTreeMap<TaskId, Reservation>,
 }
 
 impl ReservationLedger {
-    /// An instance with the given capacity for tasks.
+    /// Creates a ledger without reservations.
     pub fn new(capacity: Resources) -> Self {
-        Self { capacity, held: BTreeMap::new() }
+        Self { capacity, reservations: BTreeMap::new() }
     }
 
-    /// Capacity for tasks.
+    /// Total capacity for tasks.
     pub fn capacity(&self) -> Resources {
         self.capacity
     }
 
-    /// Room that nothing holds.
+    /// Capacity that is not reserved.
     pub fn available(&self) -> Resources {
-        let used =
-            self.held.values().fold(Resources::default(), |used, held| used.plus(&held.resources));
-        assert!(self.capacity.can_fit(&used), "instance committed beyond its capacity");
-        self.capacity.minus(&used)
+        let reserved =
+            self.reservations.values().fold(Resources::default(), |reserved, reservation| {
+                reserved.plus(&reservation.resources)
+            });
+        assert!(
+            self.capacity.can_fit(&reserved),
+            "reservations exceed the capacity of the instance"
+        );
+        self.capacity.minus(&reserved)
     }
 
-    /// Holds room for an attempt until `expires_at`; false if there is none, or if another attempt
-    /// of the task holds room.
+    /// Reserves capacity for an attempt until `expires_at`. Returns false if the capacity is
+    /// insufficient or another attempt of the task has a reservation.
     pub fn reserve(
         &mut self,
         task: &TaskId,
@@ -113,148 +121,155 @@
         resources: Resources,
         expires_at: Instant,
     ) -> bool {
-        if let Some(held) = self.held.get(task) {
-            return held.attempt == attempt;
+        if let Some(reservation) = self.reservations.get(task) {
+            return reservation.attempt == attempt;
         }
         if !self.available().can_fit(&resources) {
             return false;
         }
-        let held = Held { attempt, resources, expires_at: Some(expires_at) };
-        self.held.insert(task.clone(), held);
+        let reservation = Reservation { attempt, resources, expires_at: Some(expires_at) };
+        self.reservations.insert(task.clone(), reservation);
         true
     }
 
-    /// Keeps the reserved room until [`Self::release`]; false if the attempt holds none.
+    /// Makes a reservation permanent until [`Self::release`]. Returns false if the attempt has no
+    /// reservation.
     pub fn confirm(&mut self, task: &TaskId, attempt: AttemptNumber) -> bool {
-        match self.held.get_mut(task) {
-            Some(held) if held.attempt == attempt => {
-                held.expires_at = None;
+        match self.reservations.get_mut(task) {
+            Some(reservation) if reservation.attempt == attempt => {
+                reservation.expires_at = None;
                 true
             }
             _ => false,
         }
     }
 
-    /// Frees the room of an attempt.
+    /// Releases the reservation of an attempt.
     pub fn release(&mut self, task: &TaskId, attempt: AttemptNumber) {
-        if self.held.get(task).is_some_and(|held| held.attempt == attempt) {
-            self.held.remove(task);
+        if self.reservations.get(task).is_some_and(|reservation| reservation.attempt == attempt) {
+            self.reservations.remove(task);
         }
     }
 
-    /// Frees reserved room whose start never came.
+    /// Releases unconfirmed reservations that have expired.
     pub fn expire(&mut self, now: Instant) {
-        self.held.retain(|_, held| held.expires_at.is_none_or(|expires_at| expires_at > now));
+        self.reservations.retain(|_, reservation| {
+            reservation.expires_at.is_none_or(|expires_at| expires_at > now)
+        });
     }
 }
 
-/// What a shard owner knows of the fleet's room.
+/// Free capacity of the fleet's instances as known to a shard owner.
 #[derive(Debug, Default)]
 pub struct CapacityHints {
-    rooms: BTreeMap<InstanceId, Hint>,
+    by_instance: BTreeMap<InstanceId, Hint>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Hint {
     capacity: Resources,
-    room: Resources,
+    available: Resources,
 }
 
 impl CapacityHints {
-    /// Takes in what an agent reported.
-    pub fn update(&mut self, instance: &str, capacity: Resources, room: Resources) {
-        self.rooms.insert(instance.to_owned(), Hint { capacity, room });
+    /// Records the capacity that an agent reported.
+    pub fn update(&mut self, instance: &str, capacity: Resources, available: Resources) {
+        self.by_instance.insert(instance.to_owned(), Hint { capacity, available });
     }
 
-    /// Counts a task that is on its way to an instance.
+    /// Deducts the resources of a task that is being assigned to the instance.
     pub fn deduct(&mut self, instance: &str, resources: &Resources) {
-        if let Some(hint) = self.rooms.get_mut(instance) {
-            hint.room = hint.room.minus(resources);
+        if let Some(hint) = self.by_instance.get_mut(instance) {
+            hint.available = hint.available.minus(resources);
         }
     }
 
-    /// Forgets instances for which `is_present` is false.
+    /// Removes instances for which `is_present` returns false.
     pub fn retain(&mut self, is_present: impl Fn(&str) -> bool) {
-        self.rooms.retain(|instance, _| is_present(instance));
+        self.by_instance.retain(|instance, _| is_present(instance));
     }
 
-    /// Number of instances with a known room.
+    /// Number of known instances.
     pub fn len(&self) -> usize {
-        self.rooms.len()
+        self.by_instance.len()
     }
 
     /// Whether no instance is known.
     pub fn is_empty(&self) -> bool {
-        self.rooms.is_empty()
+        self.by_instance.is_empty()
     }
 
-    /// Whether any known instance could hold the task when empty.
+    /// Whether the total capacity of any known instance is sufficient.
     pub fn is_feasible(&self, resources: &Resources) -> bool {
-        self.rooms.values().any(|hint| hint.capacity.can_fit(resources))
+        self.by_instance.values().any(|hint| hint.capacity.can_fit(resources))
     }
 
-    /// The roomier of two random instances that have room, `avoided` ones left out.
+    /// Chooses the candidate with more available CPU out of two random ones (power of two choices).
+    /// Candidates have sufficient available capacity and are not excluded by `is_excluded`.
     pub fn choose(
         &self,
         resources: &Resources,
-        avoided: impl Fn(&str) -> bool,
+        is_excluded: impl Fn(&str) -> bool,
         rng: &mut impl Rng,
     ) -> Option<InstanceId> {
-        let fitting: Vec<(&InstanceId, &Hint)> = self
-            .rooms
+        let candidates: Vec<(&InstanceId, &Hint)> = self
+            .by_instance
             .iter()
-            .filter(|(instance, hint)| hint.room.can_fit(resources) && !avoided(instance))
+            .filter(|(instance, hint)| hint.available.can_fit(resources) && !is_excluded(instance))
             .collect();
-        if fitting.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let first = fitting[rng.random_range(0..fitting.len())];
-        let second = fitting[rng.random_range(0..fitting.len())];
-        let roomier =
-            if first.1.room.cpu_milli >= second.1.room.cpu_milli { first } else { second };
-        Some(roomier.0.clone())
+        let first = candidates[rng.random_range(0..candidates.len())];
+        let second = candidates[rng.random_range(0..candidates.len())];
+        let chosen = if first.1.available.cpu_milli >= second.1.available.cpu_milli {
+            first
+        } else {
+            second
+        };
+        Some(chosen.0.clone())
     }
 }
 
 #[derive(Debug, Default)]
-struct Conduct {
-    failures_in_row: u32,
+struct FailureHistory {
+    consecutive_failures: u32,
     failed_jobs: BTreeSet<JobName>,
-    until: Option<Instant>,
+    probation_until: Option<Instant>,
 }
 
-/// Instances that fail whatever they start.
+/// Tracks instances that fail tasks whose jobs succeed on other instances.
 #[derive(Debug, Default)]
 pub struct Probation {
-    conduct: BTreeMap<InstanceId, Conduct>,
+    histories: BTreeMap<InstanceId, FailureHistory>,
     succeeded_jobs: BTreeMap<JobName, InstanceId>,
 }
 
 impl Probation {
-    /// Counts a task that an instance finished.
+    /// Records a task that completed on an instance.
     pub fn record_success(&mut self, instance: &str, job: &str) {
-        self.conduct.remove(instance);
+        self.histories.remove(instance);
         self.succeeded_jobs.insert(job.to_owned(), instance.to_owned());
     }
 
-    /// Counts a task that failed on an instance.
+    /// Records a task that failed on an instance.
     pub fn record_failure(&mut self, instance: &str, job: &str, now: Instant) {
-        let conduct = self.conduct.entry(instance.to_owned()).or_default();
-        conduct.failures_in_row += 1;
-        conduct.failed_jobs.insert(job.to_owned());
-        let is_fault_elsewhere = conduct
+        let history = self.histories.entry(instance.to_owned()).or_default();
+        history.consecutive_failures += 1;
+        history.failed_jobs.insert(job.to_owned());
+        let is_instance_at_fault = history
             .failed_jobs
             .iter()
             .any(|job| self.succeeded_jobs.get(job).is_some_and(|peer| peer != instance));
-        if conduct.failures_in_row >= FAILURES_BEFORE_PROBATION && is_fault_elsewhere {
-            conduct.until = Some(now + PROBATION);
+        if history.consecutive_failures >= PROBATION_FAILURE_THRESHOLD && is_instance_at_fault {
+            history.probation_until = Some(now + PROBATION_PERIOD);
         }
     }
 
-    /// Whether the instance gets no tasks for now.
+    /// Whether the instance is on probation and gets no tasks.
     pub fn is_on_probation(&self, instance: &str, now: Instant) -> bool {
-        self.conduct
+        self.histories
             .get(instance)
-            .is_some_and(|conduct| conduct.until.is_some_and(|until| until > now))
+            .is_some_and(|history| history.probation_until.is_some_and(|until| until > now))
     }
 }
--- a/crates/teaseltrack/src/record.rs
+++ b/crates/teaseltrack/src/record.rs
@@ -1,7 +1,7 @@
 //! Records that operators submit, amend and withdraw.
 //!
-//! A record carries the schema version that it was written in. Each version has a type of its own and
-//! stays readable; parsing turns any version into the one specification that the rest works with.
+//! A record carries the schema version of its body. Each supported version has its own type, and
+//! parsing converts every version to the current specification type.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use serde_json::Value;
@@ -9,13 +9,13 @@
 
 use crate::ids::{JobName, Revision, TeamName};
 
-/// Longest name of a record, in bytes.
+/// Maximum length of a record name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Most tasks of one job.
+/// Maximum number of tasks per job.
 const MAX_TASKS: u32 = 100_000;
-/// Default time-out of a request, in milliseconds.
+/// Default request timeout, in milliseconds.
 const DEFAULT_TIMEOUT_MS: u64 = 10_000;
-/// Longest time-out of a request, in milliseconds.
+/// Maximum request timeout, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 600_000;
 
 /// Kind of a record.
@@ -26,14 +26,14 @@
     Service,
     /// A batch job of one or more tasks.
     Job,
-    /// A standing watch that acts on notices.
+    /// A watch that starts a job for each notice.
     Watch,
-    /// A team with its quota.
+    /// A team with its request quota.
     Team,
 }
 
 impl RecordKind {
-    /// Name on the wire.
+    /// Name used on the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Service => "service",
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The kind of a name on the wire.
+    /// Parses a name used on the wire.
     pub fn from_name(name: &str) -> Option<Self> {
         [Self::Service, Self::Job, Self::Watch, Self::Team]
             .into_iter()
@@ -51,46 +51,46 @@
     }
 }
 
-/// Why a record was refused.
+/// Validation error of a record.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub))]
 pub enum RecordError {
-    /// No reader for the version.
+    /// The schema version is not supported for the kind.
     #[snafu(display("schema_version: {version} is unknown for a {} record", kind.as_str()))]
     UnknownVersion {
         /// Kind of the record.
         kind: RecordKind,
-        /// The version that was given.
+        /// Schema version of the record.
         version: u32,
     },
-    /// The body doesn't follow the schema.
+    /// The body does not match the schema.
     #[snafu(display("body: {message}"))]
     Malformed {
-        /// What was wrong, naming the field.
+        /// Deserialization error with the path of the field.
         message: String,
     },
-    /// A field has an impossible value.
+    /// A field has a value out of range.
     #[snafu(display("{field}: {message}"))]
     InvalidValue {
         /// Name of the field.
         field: &'static str,
-        /// Why the value is impossible.
+        /// Constraint that the value violates.
         message: String,
     },
 }
 
-/// A record as it is kept.
+/// Stored record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Kind of the record.
     pub kind: RecordKind,
     /// Name, unique within the kind.
     pub name: String,
-    /// Version of the schema that the body is written in.
+    /// Schema version of the body.
     pub schema_version: u32,
     /// Revision of the last change.
     pub revision: Revision,
-    /// Operator who made the last change.
+    /// Operator that made the last change.
     pub author: String,
     /// Time of the last change, in milliseconds since the Unix epoch.
     pub changed_at_ms: u64,
@@ -100,27 +100,27 @@
     pub body: Value,
 }
 
-/// A record's specification, whatever version it was written in.
+/// Specification of a record, converted to the current schema version.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Spec {
-    /// Of a service.
+    /// Specification of a service.
     Service(ServiceSpec),
-    /// Of a job.
+    /// Specification of a job.
     Job(JobSpec),
-    /// Of a watch.
+    /// Specification of a watch.
     Watch(WatchSpec),
-    /// Of a team.
+    /// Specification of a team.
     Team(TeamSpec),
 }
 
-/// Specification of a request service; version 2 of its schema.
+/// Specification of a request service, schema version 2.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Time-out of a request that names none, in milliseconds.
+    /// Timeout of requests that do not set one, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Whether all methods are idempotent; by method if absent.
+    /// Whether all methods are idempotent; if absent, derived from the request's method.
     #[serde(default)]
     pub is_idempotent: Option<bool>,
     /// Whether urgent idempotent requests may be hedged.
@@ -134,22 +134,22 @@
     timeout_ms: u64,
 }
 
-/// Specification of a batch job; version 2 of its schema.
+/// Specification of a batch job, schema version 2.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
     /// Number of tasks.
     pub tasks: u32,
-    /// Declared processor use of a task, in thousandths of a core.
+    /// Declared CPU usage of a task, in millicores.
     pub cpu_milli: u64,
-    /// Declared memory of a task, in mebibytes.
+    /// Declared memory usage of a task, in MiB.
     pub memory_mib: u64,
-    /// Accelerators of a task.
+    /// Accelerators per task.
     #[serde(default)]
     pub accelerators: u64,
     /// Declared run time of a task, in milliseconds.
     pub run_ms: u64,
-    /// Team that pays.
+    /// Team that the job is charged to.
     pub team: TeamName,
     /// RFC 9218 urgency, 0 (most urgent) to 7.
     #[serde(default = "default_urgency")]
@@ -166,23 +166,23 @@
     team: TeamName,
 }
 
-/// Specification of a standing watch; version 1 of its schema.
+/// Specification of a watch, schema version 1.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WatchSpec {
-    /// Prefix of the job's name; the notice's identifier is appended.
+    /// Prefix of the job name; the notice identifier is appended.
     pub job_prefix: JobName,
-    /// The job that each notice starts once.
+    /// Job that is started exactly once for each notice.
     pub job: JobSpec,
 }
 
-/// Specification of a team; version 1 of its schema.
+/// Specification of a team, schema version 1.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamSpec {
-    /// Requests a second over the whole fleet.
+    /// Fleet-wide request rate limit, in requests per second.
     pub requests_per_s: f64,
-    /// Requests that may come at once.
+    /// Burst size of the rate limit, in requests.
     pub burst: f64,
 }
 
@@ -194,40 +194,42 @@
     crate::admission::DEFAULT_URGENCY
 }
 
-/// Parses a record's body by kind and schema version.
+/// Parses and validates the body of a record.
 ///
 /// # Errors
 ///
-/// An unknown version, or a body that doesn't follow the schema; both name the field.
+/// The version is not supported, or the body does not match the schema. The message names the
+/// field.
 pub fn parse_spec(kind: RecordKind, version: u32, body: &Value) -> Result<Spec, RecordError> {
     let spec = match (kind, version) {
-        (RecordKind::Service, 1) => Spec::Service(read::<ServiceSpecV1>(body)?.into()),
-        (RecordKind::Service, 2) => Spec::Service(read(body)?),
-        (RecordKind::Job, 1) => Spec::Job(read::<JobSpecV1>(body)?.into()),
-        (RecordKind::Job, 2) => Spec::Job(read(body)?),
-        (RecordKind::Watch, 1) => Spec::Watch(read(body)?),
-        (RecordKind::Team, 1) => Spec::Team(read(body)?),
+        (RecordKind::Service, 1) => Spec::Service(deserialize::<ServiceSpecV1>(body)?.into()),
+        (RecordKind::Service, 2) => Spec::Service(deserialize(body)?),
+        (RecordKind::Job, 1) => Spec::Job(deserialize::<JobSpecV1>(body)?.into()),
+        (RecordKind::Job, 2) => Spec::Job(deserialize(body)?),
+        (RecordKind::Watch, 1) => Spec::Watch(deserialize(body)?),
+        (RecordKind::Team, 1) => Spec::Team(deserialize(body)?),
         (kind, version) => return UnknownVersionSnafu { kind, version }.fail(),
     };
     check_spec(&spec)?;
     Ok(spec)
 }
 
-/// Checks a record's name.
+/// Validates the name of a record.
 ///
 /// # Errors
 ///
-/// A name that is empty, too long, or has a character other than ASCII letters, digits, `-`, `_` and `.`.
+/// The name is empty, too long, or contains a character other than ASCII letters, digits, `-`, `_`
+/// and `.`.
 pub fn check_name(name: &str) -> Result<(), RecordError> {
-    let is_plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    let is_good = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(is_plain);
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    let is_valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(is_allowed);
     let message =
         format!("`{name}` must be 1 to {MAX_NAME_BYTES} ASCII letters, digits, `-`, `_` or `.`");
-    ensure!(is_good, InvalidValueSnafu { field: "name", message });
+    ensure!(is_valid, InvalidValueSnafu { field: "name", message });
     Ok(())
 }
 
-fn read<T: DeserializeOwned>(body: &Value) -> Result<T, RecordError> {
+fn deserialize<T: DeserializeOwned>(body: &Value) -> Result<T, RecordError> {
     serde_path_to_error::deserialize(body)
         .map_err(|error| RecordError::Malformed { message: error.to_string() })
 }
@@ -242,9 +244,9 @@
 }
 
 fn check_service(service: &ServiceSpec) -> Result<(), RecordError> {
-    let is_good = (1..=MAX_TIMEOUT_MS).contains(&service.timeout_ms);
+    let is_valid = (1..=MAX_TIMEOUT_MS).contains(&service.timeout_ms);
     let message = format!("must be 1 to {MAX_TIMEOUT_MS}");
-    ensure!(is_good, InvalidValueSnafu { field: "timeout_ms", message });
+    ensure!(is_valid, InvalidValueSnafu { field: "timeout_ms", message });
     Ok(())
 }
 
@@ -252,8 +254,8 @@
     let message = format!("must be 1 to {MAX_TASKS}");
     ensure!((1..=MAX_TASKS).contains(&job.tasks), InvalidValueSnafu { field: "tasks", message });
     let message = format!("must be 0 to {}", crate::admission::MAX_URGENCY);
-    let is_good = job.urgency <= crate::admission::MAX_URGENCY;
-    ensure!(is_good, InvalidValueSnafu { field: "urgency", message });
+    let is_valid = job.urgency <= crate::admission::MAX_URGENCY;
+    ensure!(is_valid, InvalidValueSnafu { field: "urgency", message });
     ensure!(
         !job.team.is_empty(),
         InvalidValueSnafu { field: "team", message: "must not be empty" }
--- a/crates/teaseltrack/src/shard.rs
+++ b/crates/teaseltrack/src/shard.rs
@@ -1,7 +1,8 @@
-//! State of one job shard, folded from its journal.
+//! State of one job shard, replayed from its journal.
 //!
-//! An owner holds the state in memory, plans decisions against it, commits them in one transaction
-//! and only then applies them. Whoever takes the shard over folds the same decisions again.
+//! An owner keeps the state in memory, applies decisions to it and commits them in one transaction
+//! before it acts on them. An owner whose commit fails drops the state. A new owner replays the
+//! committed decisions after a takeover.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,20 +18,20 @@
     },
 };
 
-/// Number of job shards. It is part of the names of rows and so stays as it is.
+/// Number of job shards. It determines the keys of stored rows and must not be changed.
 pub const SHARD_COUNT: ShardNumber = 16;
 
-/// The shard of a job.
+/// Shard that a job belongs to.
 pub fn shard_of(job: &str) -> ShardNumber {
     (xxh3_64(job.as_bytes()) % u64::from(SHARD_COUNT)) as ShardNumber
 }
 
-/// Name of a shard's journal.
+/// Name of the journal stream of a shard.
 pub fn stream_of(shard: ShardNumber) -> String {
     format!("shard-{shard:04}")
 }
 
-/// The instances by how much they are preferred as owner of the shard (rendezvous hashing).
+/// Ranks the instances as owners of the shard by rendezvous hashing, most preferred first.
 pub fn preferred_owners<'a>(
     shard: ShardNumber,
     instances: impl Iterator<Item = &'a InstanceId>,
@@ -40,27 +41,27 @@
     ranked
 }
 
-/// A job with its tasks.
+/// Job with its tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Revision of its record.
+    /// Applied revision of the job's record.
     pub revision: Revision,
-    /// Its specification.
+    /// Specification of the job.
     pub spec: JobSpec,
-    /// Whether it was withdrawn.
+    /// Whether the job was withdrawn.
     pub is_cancelled: bool,
-    /// Its tasks by number.
+    /// Tasks by index.
     pub tasks: Vec<Task>,
 }
 
-/// Jobs of one shard.
+/// State of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardState {
     jobs: BTreeMap<JobName, Job>,
-    /// Tasks that wait for a place, by urgency, age of the job and number.
+    /// Tasks waiting for a placement, ordered by urgency, job revision and task identity.
     #[serde(skip)]
     waiting: BTreeSet<WaitingKey>,
-    /// Tasks that are assigned or running, by instance.
+    /// Assigned and running tasks, by instance.
     #[serde(skip)]
     placed: BTreeMap<InstanceId, BTreeSet<TaskId>>,
 }
@@ -73,7 +74,7 @@
 }
 
 impl ShardState {
-    /// Rebuilds the indexes of a state that was read from a snapshot.
+    /// Rebuilds the indexes after the state was deserialized from a snapshot.
     pub fn reindex(&mut self) {
         self.waiting.clear();
         self.placed.clear();
@@ -83,64 +84,64 @@
         }
     }
 
-    /// All jobs by name.
+    /// Jobs by name.
     pub fn jobs(&self) -> &BTreeMap<JobName, Job> {
         &self.jobs
     }
 
-    /// A task by identity.
+    /// Looks up a task.
     pub fn task(&self, id: &TaskId) -> Option<&Task> {
         self.jobs.get(&id.job)?.tasks.get(id.index as usize)
     }
 
-    /// Tasks that wait for a place, most urgent and oldest first.
+    /// Tasks waiting for a placement, most urgent first, then by job revision.
     pub fn waiting(&self) -> impl Iterator<Item = &TaskId> {
         self.waiting.iter().map(|key| &key.task)
     }
 
-    /// Number of tasks that wait for a place.
+    /// Number of tasks waiting for a placement.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Tasks that are assigned to or running on an instance.
+    /// Tasks assigned to or running on an instance.
     pub fn placed_on(&self, instance: &str) -> impl Iterator<Item = &TaskId> {
         self.placed.get(instance).into_iter().flatten()
     }
 
-    /// Instances that have tasks of the shard.
+    /// Instances with assigned or running tasks of the shard.
     pub fn instances(&self) -> impl Iterator<Item = &InstanceId> {
         self.placed.keys()
     }
 
-    /// Whether the decision applies to the present state.
+    /// Checks whether the decision is valid in the current state.
     ///
     /// # Errors
     ///
-    /// Why it doesn't.
+    /// The reason for which the decision is rejected.
     pub fn check(&self, decision: &Decision) -> Result<(), TransitionError> {
         match decision {
             Decision::JobAdded { job, revision, .. }
             | Decision::JobAmended { job, revision, .. }
             | Decision::JobCancelled { job, revision } => self.check_revision(job, *revision),
-            _ => self.next_task(decision).map(drop),
+            _ => self.updated_task(decision).map(drop),
         }
     }
 
-    /// Applies a committed decision.
+    /// Applies a decision.
     ///
     /// # Errors
     ///
-    /// Why it doesn't apply; the state is unchanged.
+    /// The reason for which the decision is rejected; the state is unchanged.
     pub fn apply(&mut self, decision: &Decision) -> Result<(), TransitionError> {
         self.check(decision)?;
         match decision {
-            Decision::JobAdded { job, revision, spec } => self.put_job(job, *revision, spec),
+            Decision::JobAdded { job, revision, spec } => self.upsert_job(job, *revision, spec),
             Decision::JobAmended { job, revision, spec } => self.amend_job(job, *revision, spec),
             Decision::JobCancelled { job, revision } => self.cancel_job(job, *revision),
             _ => {
-                let (id, task) = self.next_task(decision)?;
-                self.put_task(&id, task);
+                let (id, task) = self.updated_task(decision)?;
+                self.replace_task(&id, task);
             }
         }
         Ok(())
@@ -148,14 +149,14 @@
 
     fn check_revision(&self, job: &JobName, given: Revision) -> Result<(), TransitionError> {
         match self.jobs.get(job) {
-            Some(held) if held.revision >= given => {
-                StaleRevisionSnafu { given, current: held.revision }.fail()
+            Some(current) if current.revision >= given => {
+                StaleRevisionSnafu { given, current: current.revision }.fail()
             }
             _ => Ok(()),
         }
     }
 
-    fn next_task(&self, decision: &Decision) -> Result<(TaskId, Task), TransitionError> {
+    fn updated_task(&self, decision: &Decision) -> Result<(TaskId, Task), TransitionError> {
         let transition = match decision {
             Decision::Assigned { attempt, placement, .. } => {
                 Transition::Assign(*attempt, placement)
@@ -165,7 +166,7 @@
             Decision::Evicted { attempt, checkpoint, .. } => {
                 Transition::Evict(*attempt, checkpoint)
             }
-            Decision::Done { attempt, .. } => Transition::Finish(*attempt),
+            Decision::Done { attempt, .. } => Transition::Complete(*attempt),
             Decision::AttemptFailed { attempt, is_final, .. } => {
                 Transition::Fail { attempt: *attempt, is_final: *is_final }
             }
@@ -177,10 +178,10 @@
         };
         let Some(id) = decision.task() else { return UnknownJobSnafu { job: "" }.fail() };
         let task = self.task(id).ok_or_else(|| UnknownTaskSnafu { task: id.clone() }.build())?;
-        Ok((id.clone(), task.after(&transition)?))
+        Ok((id.clone(), task.apply(&transition)?))
     }
 
-    fn put_job(&mut self, name: &JobName, revision: Revision, spec: &JobSpec) {
+    fn upsert_job(&mut self, name: &JobName, revision: Revision, spec: &JobSpec) {
         if self.jobs.contains_key(name) {
             self.amend_job(name, revision, spec);
             return;
@@ -191,19 +192,19 @@
         self.index_job(name);
     }
 
-    /// Follows an amended record; tasks beyond a smaller number are cancelled, more are added.
+    /// Applies an amended specification: cancels tasks beyond the new count, or adds missing ones.
     fn amend_job(&mut self, name: &JobName, revision: Revision, spec: &JobSpec) {
         self.unindex_job(name);
         let Some(job) = self.jobs.get_mut(name) else { return };
         job.revision = revision;
         job.spec = spec.clone();
-        let wanted = spec.tasks as usize;
-        for task in job.tasks.iter_mut().skip(wanted) {
-            if let Ok(cancelled) = task.after(&Transition::Cancel) {
+        let task_count = spec.tasks as usize;
+        for task in job.tasks.iter_mut().skip(task_count) {
+            if let Ok(cancelled) = task.apply(&Transition::Cancel) {
                 *task = cancelled;
             }
         }
-        let count = job.tasks.len().max(wanted);
+        let count = job.tasks.len().max(task_count);
         job.tasks.resize_with(count, Task::default);
         self.index_job(name);
     }
@@ -214,13 +215,13 @@
         job.revision = revision;
         job.is_cancelled = true;
         for task in &mut job.tasks {
-            if let Ok(cancelled) = task.after(&Transition::Cancel) {
+            if let Ok(cancelled) = task.apply(&Transition::Cancel) {
                 *task = cancelled;
             }
         }
     }
 
-    fn put_task(&mut self, id: &TaskId, next: Task) {
+    fn replace_task(&mut self, id: &TaskId, next: Task) {
         self.unindex(id);
         if let Some(task) =
             self.jobs.get_mut(&id.job).and_then(|job| job.tasks.get_mut(id.index as usize))
@@ -276,27 +277,27 @@
     }
 }
 
-/// Counts of tasks by state.
+/// Number of tasks by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskCounts {
-    /// Waiting for a first place.
+    /// Pending.
     pub pending: u32,
     /// Assigned or running.
     pub running: u32,
-    /// Waiting to resume.
+    /// Evicted and waiting to resume.
     pub evicted: u32,
-    /// Finished.
+    /// Completed.
     pub done: u32,
-    /// Failed for good.
+    /// Failed permanently.
     pub failed: u32,
-    /// Can't run at present.
+    /// Parked because no known instance can fit them.
     pub parked: u32,
-    /// Withdrawn.
+    /// Cancelled.
     pub cancelled: u32,
 }
 
 impl TaskCounts {
-    /// Counts the tasks of a job.
+    /// Counts tasks by state.
     pub fn of(tasks: &[Task]) -> Self {
         let mut counts = Self::default();
         for task in tasks {
--- a/crates/teaseltrack/src/task.rs
+++ b/crates/teaseltrack/src/task.rs
@@ -1,7 +1,8 @@
-//! The life of one task: its states and the committed decisions that change them.
+//! Task state machine and the decisions that drive it.
 //!
-//! A decision names the attempt that it is about. A decision about any other attempt than the
-//! current one is refused, so that late and repeated news changes nothing.
+//! A decision about an attempt carries the attempt number. It is rejected unless that is the
+//! current attempt (or the next one, for an assignment), so that late and duplicate reports change
+//! nothing.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -11,12 +12,12 @@
     record::JobSpec,
 };
 
-/// One task of a job.
+/// Identity of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// The job.
     pub job: JobName,
-    /// Number within the job, from 0.
+    /// Index within the job, starting at 0.
     pub index: u32,
 }
 
@@ -35,31 +36,31 @@
     pub incarnation: Incarnation,
 }
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// Waits for a place.
+    /// Waiting for its first placement, or for another one after an attempt without a checkpoint.
     #[default]
     Pending,
-    /// Has a place; the start may or may not have arrived.
+    /// Assigned to an instance, which may not have received the start order yet.
     Assigned(Placement),
-    /// Runs.
+    /// Running.
     Running(Placement),
-    /// Stopped with a checkpoint; waits for a place to resume.
+    /// Waiting for a placement to resume from its checkpoint.
     Evicted,
-    /// Finished.
+    /// Completed.
     Done,
-    /// Failed for good.
+    /// Failed permanently.
     Failed,
-    /// Can't run anywhere at present.
+    /// Not placeable on any known instance.
     Parked,
-    /// Withdrawn by an operator.
+    /// Cancelled by an operator.
     Cancelled,
 }
 
 impl TaskState {
-    /// Name on the wire and in reports.
+    /// Name used on the wire and in reports.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Pending => "pending",
@@ -73,17 +74,17 @@
         }
     }
 
-    /// Whether the task changes no more.
+    /// Whether the state is final.
     pub fn is_final(&self) -> bool {
         matches!(self, Self::Done | Self::Failed | Self::Cancelled)
     }
 
-    /// Whether the task waits for a place.
+    /// Whether the task is waiting for a placement.
     pub fn is_waiting(&self) -> bool {
         matches!(self, Self::Pending | Self::Evicted)
     }
 
-    /// Where the current attempt is, if it is anywhere.
+    /// Placement of the current attempt, if it is assigned or running.
     pub fn placement(&self) -> Option<&Placement> {
         match self {
             Self::Assigned(placement) | Self::Running(placement) => Some(placement),
@@ -92,21 +93,21 @@
     }
 }
 
-/// A task as its shard holds it.
+/// Task as stored in its shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Task {
-    /// Where it stands.
+    /// State of the task.
     pub state: TaskState,
-    /// Number of the newest attempt; 0 before the first.
+    /// Number of the latest attempt; 0 before the first.
     pub attempt: AttemptNumber,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub failures: u32,
-    /// Key of the newest committed checkpoint in the object store.
+    /// Object store key of the latest committed checkpoint.
     pub checkpoint: Option<String>,
 }
 
-/// One committed change to a shard.
+/// Change to the state of a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "decision")]
 pub enum Decision {
@@ -119,7 +120,7 @@
         /// Its specification.
         spec: JobSpec,
     },
-    /// A job was amended; tasks that wait follow the new specification.
+    /// A job was amended; its new attempts use the new specification.
     JobAmended {
         /// The job.
         job: JobName,
@@ -128,87 +129,87 @@
         /// Its new specification.
         spec: JobSpec,
     },
-    /// A job was withdrawn; all its tasks that aren't final are cancelled.
+    /// A job was withdrawn; all its tasks that are not final are cancelled.
     JobCancelled {
         /// The job.
         job: JobName,
         /// Revision of its record.
         revision: Revision,
     },
-    /// An attempt got a place.
+    /// An attempt was assigned to an instance.
     Assigned {
         /// The task.
         task: TaskId,
         /// The new attempt.
         attempt: AttemptNumber,
-        /// Its place.
+        /// Placement of the attempt.
         placement: Placement,
-        /// Why there.
+        /// Reason for the placement.
         reason: String,
     },
-    /// An attempt was seen running.
+    /// An attempt was reported as running.
     Started {
         /// The task.
         task: TaskId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// An attempt ended without a result; the task waits again.
+    /// An attempt ended without a result; the task returns to a waiting state.
     Released {
         /// The task.
         task: TaskId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// Why.
+        /// Reason for the decision.
         reason: String,
     },
-    /// An attempt stopped behind a stored checkpoint.
+    /// An attempt was stopped after its checkpoint was stored.
     Evicted {
         /// The task.
         task: TaskId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// Key of the checkpoint in the object store.
+        /// Object store key of the checkpoint.
         checkpoint: String,
-        /// Why.
+        /// Reason for the decision.
         reason: String,
     },
-    /// An attempt finished the task.
+    /// An attempt completed the task.
     Done {
         /// The task.
         task: TaskId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// An attempt failed; the task waits again, or failed for good.
+    /// An attempt failed; the task is retried or fails permanently.
     AttemptFailed {
         /// The task.
         task: TaskId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// Whether the task is given up.
+        /// Whether the task failed permanently.
         is_final: bool,
-        /// Why.
+        /// Reason for the decision.
         reason: String,
     },
-    /// A task can't run anywhere at present.
+    /// A task cannot be placed on any known instance.
     Parked {
         /// The task.
         task: TaskId,
-        /// Why.
+        /// Reason for the decision.
         reason: String,
     },
-    /// A parked task may run again.
+    /// A parked task can be placed again.
     Unparked {
         /// The task.
         task: TaskId,
-        /// Why.
+        /// Reason for the decision.
         reason: String,
     },
 }
 
 impl Decision {
-    /// The job that the decision is about.
+    /// Job that the decision applies to.
     pub fn job(&self) -> &str {
         match self {
             Self::JobAdded { job, .. }
@@ -218,7 +219,7 @@
         }
     }
 
-    /// The task that the decision is about, if it is about one.
+    /// Task that the decision applies to; `None` if it applies to a whole job.
     pub fn task(&self) -> Option<&TaskId> {
         match self {
             Self::JobAdded { .. } | Self::JobAmended { .. } | Self::JobCancelled { .. } => None,
@@ -234,56 +235,56 @@
     }
 }
 
-/// Why a decision doesn't apply.
+/// Reason for which a decision was rejected.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(crate)))]
 pub enum TransitionError {
-    /// The job isn't in the shard.
-    #[snafu(display("{job}: no such job"))]
+    /// The shard has no such job.
+    #[snafu(display("job {job} not found"))]
     UnknownJob {
         /// The job.
         job: JobName,
     },
-    /// The job has no task of that number.
-    #[snafu(display("{task}: no such task"))]
+    /// The job has no task with the index.
+    #[snafu(display("task {task} not found"))]
     UnknownTask {
         /// The task.
         task: TaskId,
     },
-    /// The decision is about another attempt than the current one.
-    #[snafu(display("attempt {given} isn't the current attempt {current}"))]
+    /// The decision does not match the current attempt.
+    #[snafu(display("attempt {given} does not match the current attempt {current}"))]
     StaleAttempt {
-        /// Attempt of the decision.
+        /// Attempt number in the decision.
         given: AttemptNumber,
-        /// Attempt of the task.
+        /// Current attempt number of the task.
         current: AttemptNumber,
     },
-    /// The state doesn't allow the decision.
-    #[snafu(display("{decision} doesn't follow {state}"))]
+    /// The decision is not allowed in the current state.
+    #[snafu(display("invalid transition: {decision} in state {state}"))]
     InvalidTransition {
         /// Name of the state.
         state: &'static str,
         /// Name of the decision.
         decision: &'static str,
     },
-    /// The record's revision is older than the one applied.
-    #[snafu(display("revision {given} isn't above {current}"))]
+    /// The revision of the record is not newer than the applied one.
+    #[snafu(display("revision {given} is not newer than {current}"))]
     StaleRevision {
-        /// Revision of the decision.
+        /// Revision in the decision.
         given: Revision,
-        /// Revision of the job.
+        /// Applied revision of the job.
         current: Revision,
     },
 }
 
-/// Change to one task, without the task's identity.
+/// State transition of one task.
 #[derive(Clone, Debug)]
 pub(crate) enum Transition<'a> {
     Assign(AttemptNumber, &'a Placement),
     Start(AttemptNumber),
     Release(AttemptNumber),
     Evict(AttemptNumber, &'a str),
-    Finish(AttemptNumber),
+    Complete(AttemptNumber),
     Fail { attempt: AttemptNumber, is_final: bool },
     Park,
     Unpark,
@@ -297,7 +298,7 @@
             Self::Start(_) => "started",
             Self::Release(_) => "released",
             Self::Evict(..) => "evicted",
-            Self::Finish(_) => "done",
+            Self::Complete(_) => "done",
             Self::Fail { .. } => "failed",
             Self::Park => "parked",
             Self::Unpark => "unparked",
@@ -310,7 +311,7 @@
             Self::Start(attempt)
             | Self::Release(attempt)
             | Self::Evict(attempt, _)
-            | Self::Finish(attempt)
+            | Self::Complete(attempt)
             | Self::Fail { attempt, .. } => Some(*attempt),
             Self::Assign(..) | Self::Park | Self::Unpark | Self::Cancel => None,
         }
@@ -318,8 +319,8 @@
 }
 
 impl Task {
-    /// The task after the transition.
-    pub(crate) fn after(&self, transition: &Transition<'_>) -> Result<Self, TransitionError> {
+    /// Returns the task as changed by the transition.
+    pub(crate) fn apply(&self, transition: &Transition<'_>) -> Result<Self, TransitionError> {
         if let Some(given) = transition.attempt()
             && given != self.attempt
         {
@@ -344,7 +345,7 @@
                 next.checkpoint = Some((*checkpoint).to_owned());
                 TaskState::Evicted
             }
-            (TaskState::Assigned(_) | TaskState::Running(_), Transition::Finish(_)) => {
+            (TaskState::Assigned(_) | TaskState::Running(_), Transition::Complete(_)) => {
                 TaskState::Done
             }
             (TaskState::Assigned(_) | TaskState::Running(_), Transition::Fail { is_final, .. }) => {
@@ -362,7 +363,7 @@
         Ok(next)
     }
 
-    /// The waiting state: with a checkpoint the task resumes, without one it starts anew.
+    /// State in which the task waits: to resume from its checkpoint, or without one to restart.
     fn waiting_state(&self) -> TaskState {
         if self.checkpoint.is_some() { TaskState::Evicted } else { TaskState::Pending }
     }
--- a/crates/teaseltrack/tests/journals.rs
+++ b/crates/teaseltrack/tests/journals.rs
@@ -1,4 +1,4 @@
-//! Journals: any change to any entry is found.
+//! Journals: verification detects changed, resealed, removed and reordered entries.
 
 mod util;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn advance_whole_chain() {
+fn advance_intact_chain() {
     assert_eq!(verify(&chain(20)).unwrap().sequence, 20);
 }
 
@@ -49,12 +49,12 @@
     #![proptest_config(util::config(256))]
 
     #[test]
-    fn advance_changed_text(at in 0..20_usize, byte in 0..1_000_usize) {
+    fn advance_changed_payload(at in 0..20_usize, byte in 0..1_000_usize) {
         let mut chain = chain(20);
-        let mut text = chain[at].payload.clone().into_bytes();
-        let byte = byte % text.len();
-        text[byte] = if text[byte] == b'7' { b'8' } else { b'7' };
-        chain[at].payload = String::from_utf8(text).unwrap();
+        let mut payload = chain[at].payload.clone().into_bytes();
+        let byte = byte % payload.len();
+        payload[byte] = if payload[byte] == b'7' { b'8' } else { b'7' };
+        chain[at].payload = String::from_utf8(payload).unwrap();
         prop_assert!(verify(&chain).is_err());
     }
 
--- a/crates/teaseltrack/tests/leases.rs
+++ b/crates/teaseltrack/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: a taker never finds a lease lapsed while its holder may still work.
+//! Leases: an observer never finds a lease lapsed while its holder may still work.
 
 mod util;
 
@@ -9,36 +9,36 @@
 
 const TTL: Duration = Duration::from_secs(6);
 
-/// What happens in one step of 100 ms.
+/// Faults during one step of 100 ms.
 #[derive(Clone, Debug)]
 struct Step {
-    is_store_out: bool,
+    is_store_unavailable: bool,
     is_holder_frozen: bool,
-    is_answer_lost: bool,
-    /// Steps after which the renewal that is sent now takes effect.
+    is_response_lost: bool,
+    /// Number of steps until a renewal sent in this step commits.
     delay_steps: usize,
-    is_taker_frozen: bool,
+    is_observer_frozen: bool,
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    // Each in runs, so that outages and freezes longer than the lease come about.
+    // Steps are repeated in runs, which produces outages and freezes longer than the lease.
     (0..100_u8, 0..100_u8, 0..100_u8, 0..8_usize, 0..100_u8).prop_map(
-        |(out, frozen, lost, delay, taker)| Step {
-            is_store_out: out < 15,
-            is_holder_frozen: frozen < 30,
-            is_answer_lost: lost < 30,
+        |(outage, holder, lost, delay, observer)| Step {
+            is_store_unavailable: outage < 15,
+            is_holder_frozen: holder < 30,
+            is_response_lost: lost < 30,
             delay_steps: delay,
-            is_taker_frozen: taker < 15,
+            is_observer_frozen: observer < 15,
         },
     )
 }
 
-/// A renewal on its way to the store.
-struct Sent {
+/// A renewal that has been sent and has not committed yet.
+struct PendingRenewal {
     sent_at: Instant,
-    effective_step: usize,
+    commit_step: usize,
     version: u64,
-    is_answer_lost: bool,
+    is_response_lost: bool,
 }
 
 proptest! {
@@ -53,30 +53,31 @@
         let mut holder = HeldLease::new(TTL, start);
         let mut holder_version = 1_u64;
         let mut watch = LeaseWatch::new(version, start);
-        let mut sent: Option<Sent> = None;
+        let mut pending: Option<PendingRenewal> = None;
         let steps = runs.into_iter().flat_map(|(step, times)| std::iter::repeat_n(step, times));
         for (number, step) in steps.enumerate() {
             let now = start + Duration::from_millis(100) * number as u32;
-            if !step.is_holder_frozen && sent.is_none() {
-                let effective_step = number + step.delay_steps;
-                let is_answer_lost = step.is_answer_lost;
-                sent = Some(Sent { sent_at: now, effective_step, version: holder_version, is_answer_lost });
+            if !step.is_holder_frozen && pending.is_none() {
+                let commit_step = number + step.delay_steps;
+                let is_response_lost = step.is_response_lost;
+                pending = Some(PendingRenewal { sent_at: now, commit_step, version: holder_version, is_response_lost });
             }
-            if let Some(renewal) = sent.take_if(|renewal| renewal.effective_step <= number) {
-                let takes_effect = !step.is_store_out && renewal.version == version;
-                if takes_effect {
+            if let Some(renewal) = pending.take_if(|renewal| renewal.commit_step <= number) {
+                let is_committed = !step.is_store_unavailable && renewal.version == version;
+                if is_committed {
                     version += 1;
-                    if !renewal.is_answer_lost {
+                    if !renewal.is_response_lost {
                         holder.renew(renewal.sent_at);
                     }
-                    // A lost answer is settled by reading: the version is known, the time isn't taken.
+                    // After a lost response the holder reads the row: it learns the version, but
+                    // does not extend the lease.
                     holder_version = version;
                 }
             }
-            if !step.is_store_out && !step.is_taker_frozen && number % 10 == 0 {
+            if !step.is_store_unavailable && !step.is_observer_frozen && number % 10 == 0 {
                 watch.observe(version, now);
                 if watch.is_lapsed(TTL) {
-                    prop_assert!(!holder.is_valid(now), "taken while the holder may work");
+                    prop_assert!(!holder.is_valid(now), "lapsed while the holder may still work");
                 }
             }
         }
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn lapse_after_quiet_holder() {
+fn lapse_after_holder_stops_renewing() {
     let start = Instant::now();
     let mut watch = LeaseWatch::new(1, start);
     let mut lapsed_after = None;
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn lapse_not_counted_through_outage() {
+fn lapse_not_counted_during_outage() {
     let start = Instant::now();
     let mut watch = LeaseWatch::new(1, start);
     watch.observe(1, start + Duration::from_secs(3_600));
--- a/crates/teaseltrack/tests/records.rs
+++ b/crates/teaseltrack/tests/records.rs
@@ -1,4 +1,4 @@
-//! Records of old and new schema versions, and a configuration that never reverts.
+//! Parsing and validation of records across schema versions; a configuration that never reverts.
 
 mod util;
 
@@ -44,13 +44,13 @@
     no_team = { RecordKind::Job, 1, json!({ "tasks": 1, "cpu_milli": 1, "memory_mib": 1, "run_ms": 1 }), "team" },
     rate_0 = { RecordKind::Team, 1, json!({ "requests_per_s": 0.0, "burst": 2.0 }), "requests_per_s" },
 )]
-fn parse_spec_names_field(kind: RecordKind, version: u32, body: Value, field: &str) {
+fn parse_spec_error_names_field(kind: RecordKind, version: u32, body: Value, field: &str) {
     let error = parse_spec(kind, version, &body).unwrap_err().to_string();
     assert!(error.contains(field), "{error}");
 }
 
 #[test]
-fn parse_spec_old_and_new_alike() {
+fn parse_spec_versions_equivalent() {
     let old = parse_spec(RecordKind::Service, 1, &json!({ "timeout_ms": 5 })).unwrap();
     let new = parse_spec(RecordKind::Service, 2, &json!({ "timeout_ms": 5 })).unwrap();
     assert_eq!(old, new);
@@ -58,22 +58,22 @@
 }
 
 #[parameterized(empty = { "" }, slash = { "a/b" }, blank = { "a b" }, accent = { "ž" })]
-fn check_name_refused(name: &str) {
+fn check_name_rejected(name: &str) {
     assert!(check_name(name).is_err());
 }
 
 #[test]
-fn configuration_withdrawn_record_leaves_force() {
+fn configuration_withdrawn_record_inactive() {
     let mut configuration = Configuration::default();
-    let held = record("a", 1, 5);
-    configuration.apply(ChangePage::complete(vec![held.clone()], 1));
+    let active = record("a", 1, 5);
+    configuration.apply(ChangePage::complete(vec![active.clone()], 1));
     assert!(configuration.service("a").is_some());
-    let withdrawn = Record { is_withdrawn: true, revision: 2, ..held };
+    let withdrawn = Record { is_withdrawn: true, revision: 2, ..active };
     configuration.apply(ChangePage::complete(vec![withdrawn], 2));
     assert!(configuration.service("a").is_none());
 }
 
-/// A source that has applied `count` changes to five records.
+/// A configuration after `count` changes to five records.
 fn source(count: u64) -> Configuration {
     let mut source = Configuration::default();
     for revision in 1..=count {
@@ -90,7 +90,8 @@
 proptest! {
     #![proptest_config(util::config(256))]
 
-    /// Fetches from sources that are ahead or behind, broken off after any page.
+    /// Fetches pages from sources that are ahead or behind, stopping after an arbitrary page.
+    /// Guards against an older page replacing a newer record.
     #[test]
     fn configuration_never_reverts(
         fetches in prop::collection::vec((0..40_u64, 1..6_usize, 1..8_usize), 1..60),
@@ -107,10 +108,10 @@
                 process.apply(page);
             }
             prop_assert!(process.revision() >= before.revision());
-            let promised = self::source(process.revision());
+            let expected = self::source(process.revision());
             for number in 0..5 {
                 prop_assert!(timeout_of(&process, number) >= timeout_of(&before, number));
-                prop_assert!(timeout_of(&process, number) >= timeout_of(&promised, number));
+                prop_assert!(timeout_of(&process, number) >= timeout_of(&expected, number));
             }
         }
     }
--- a/crates/teaseltrack/tests/tasks.rs
+++ b/crates/teaseltrack/tests/tasks.rs
@@ -1,4 +1,4 @@
-//! The life of tasks: transitions, folding, room and probation.
+//! Task transitions, journal replay, capacity reservations and probation.
 
 mod util;
 
@@ -66,7 +66,7 @@
 }
 
 #[parameterized(
-    second_place_while_running = { vec![assigned(1, 1)], assigned(2, 2) },
+    second_placement_while_running = { vec![assigned(1, 1)], assigned(2, 2) },
     attempt_skipped = { vec![], assigned(2, 1) },
     attempt_repeated = { vec![assigned(1, 1), released(1)], assigned(1, 2) },
     late_start = { vec![assigned(1, 1), released(1), assigned(2, 2)], Decision::Started { task: id(0), attempt: 1 } },
@@ -80,7 +80,7 @@
     unknown_job = { vec![], Decision::Done { task: TaskId { job: "other".to_owned(), index: 0 }, attempt: 1 } },
     old_revision = { vec![], Decision::JobCancelled { job: "job".to_owned(), revision: 1 } },
 )]
-fn apply_refused(before: Vec<Decision>, decision: Decision) {
+fn apply_rejected(before: Vec<Decision>, decision: Decision) {
     let mut state = state();
     for decision in &before {
         state.apply(decision).unwrap();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn apply_smaller_job_cancels_the_rest() {
+fn apply_smaller_job_cancels_excess_tasks() {
     let mut state = state();
     state
         .apply(&Decision::JobAmended { job: "job".to_owned(), revision: 2, spec: spec(1) })
@@ -118,18 +118,20 @@
     let attempt = 1..6_u32;
     let reason = String::new();
     (task, attempt, 0..3_u8, 0..9_u8, 1..9_u64).prop_map(
-        move |(task, attempt, place, kind, revision)| {
+        move |(task, attempt, variant, kind, revision)| {
             let reason = reason.clone();
             match kind {
-                0 | 1 => Decision::Assigned { task, attempt, placement: placement(place), reason },
+                0 | 1 => {
+                    Decision::Assigned { task, attempt, placement: placement(variant), reason }
+                }
                 2 => Decision::Started { task, attempt },
                 3 => Decision::Released { task, attempt, reason },
                 4 => {
                     Decision::Evicted { task, attempt, checkpoint: format!("c-{attempt}"), reason }
                 }
                 5 => Decision::Done { task, attempt },
-                6 => Decision::AttemptFailed { task, attempt, is_final: place == 0, reason },
-                7 if place == 0 => Decision::JobCancelled { job: "job".to_owned(), revision },
+                6 => Decision::AttemptFailed { task, attempt, is_final: variant == 0, reason },
+                7 if variant == 0 => Decision::JobCancelled { job: "job".to_owned(), revision },
                 7 => Decision::Parked { task, reason },
                 _ => Decision::Unparked { task, reason },
             }
@@ -145,7 +147,10 @@
     let (Some(was), Some(is)) = (before.state.placement(), after.state.placement()) else {
         return Ok(());
     };
-    prop_assert!(was == is && before.attempt == after.attempt, "moved without an end");
+    prop_assert!(
+        was == is && before.attempt == after.attempt,
+        "placement changed while the attempt was active"
+    );
     Ok(())
 }
 
@@ -167,11 +172,11 @@
                 check_task(before.task(&id(index)).unwrap(), state.task(&id(index)).unwrap())?;
             }
         }
-        let mut folded = self::state();
+        let mut replayed = self::state();
         for decision in &applied {
-            prop_assert!(folded.apply(decision).is_ok());
+            prop_assert!(replayed.apply(decision).is_ok());
         }
-        prop_assert_eq!(&folded, &state);
+        prop_assert_eq!(&replayed, &state);
         let text = serde_json::to_string(&state).unwrap();
         let mut restored: ShardState = serde_json::from_str(&text).unwrap();
         restored.reindex();
@@ -179,19 +184,19 @@
     }
 
     #[test]
-    fn room_ledger_random_steps(steps in prop::collection::vec((0..4_u8, 0..12_u32, 1..4_u32, 0..5_000_u64), 1..300)) {
+    fn reservation_ledger_random_steps(steps in prop::collection::vec((0..4_u8, 0..12_u32, 1..4_u32, 0..5_000_u64), 1..300)) {
         let start = Instant::now();
         let capacity = Resources { cpu_milli: 8_000, memory_mib: 1_024, accelerators: 1 };
         let mut ledger = ReservationLedger::new(capacity);
         for (number, (kind, index, attempt, size)) in steps.into_iter().enumerate() {
             let now = start + Duration::from_millis(number as u64 * 100);
             let resources = Resources { cpu_milli: size, memory_mib: size / 10, accelerators: u64::from(size % 7 == 0) };
-            let room = ledger.available();
+            let available = ledger.available();
             match kind {
                 0 | 1 => {
                     let is_reserved = ledger.reserve(&id(index), attempt, resources, now + Duration::from_secs(1));
-                    let is_taken = ledger.available() != room;
-                    prop_assert!(!is_taken || (is_reserved && room.can_fit(&resources)));
+                    let is_reduced = ledger.available() != available;
+                    prop_assert!(!is_reduced || (is_reserved && available.can_fit(&resources)));
                 }
                 2 => drop(ledger.confirm(&id(index), attempt)),
                 _ => ledger.release(&id(index), attempt),
@@ -203,7 +208,7 @@
 }
 
 #[test]
-fn probation_for_failing_everything() {
+fn probation_for_consecutive_failures() {
     let now = Instant::now();
     let mut probation = Probation::default();
     for job in ["a", "b", "c"] {
@@ -216,12 +221,12 @@
 }
 
 #[test]
-fn probation_not_for_bad_jobs() {
+fn probation_not_for_failing_job() {
     let now = Instant::now();
     let mut probation = Probation::default();
     for _ in 0..10 {
-        probation.record_failure("agent-0", "broken", now);
-        probation.record_failure("agent-1", "broken", now);
+        probation.record_failure("agent-0", "failing", now);
+        probation.record_failure("agent-1", "failing", now);
     }
     assert!(!probation.is_on_probation("agent-0", now));
 }
