--- a/crates/teaseltrack/tests/util.rs
+++ b/crates/teaseltrack/tests/util.rs
@@ -1,4 +1,4 @@
-//! What several test files use.
+//! Settings shared by the integration tests.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -9,10 +9,10 @@
     planning::PlanningSettings,
 };
 
-/// Seed of all random tests, so that CI gives the same verdict every time.
+/// Seed of all property tests, so that CI runs are reproducible.
 const SEED: u64 = 20_261_204;
 
-/// A fixed seed and the number of cases, which `PROPTEST_CASES` multiplies outside CI.
+/// Property-test configuration with the fixed seed. `PROPTEST_CASES`, if set, multiplies `cases`.
 pub fn config(cases: u32) -> ProptestConfig {
     let factor = std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
     ProptestConfig {
@@ -23,35 +23,35 @@
     }
 }
 
-/// Settings of a cell as on the users' platform.
+/// Settings of a cell as deployed on the platform.
 pub const CELL_SETTINGS: CellSettings = CellSettings {
     lease: Duration::from_millis(5_000),
     clock_drift: 0.02,
     lease_margin: Duration::from_millis(300),
-    agent_silence: Duration::from_millis(1_200),
-    refusal_pause: Duration::from_millis(500),
+    agent_timeout: Duration::from_millis(1_200),
+    refusal_backoff: Duration::from_millis(500),
     health: HealthSettings {
-        failures_in_row: 3,
+        failure_threshold: 3,
         probation: Duration::from_millis(3_000),
-        stall: Duration::from_millis(2_000),
-        slowness_weight: 0.3,
-        slowness_half_life_s: 4.0,
-        avoided_slowness: 2.0,
+        stall_timeout: Duration::from_millis(2_000),
+        slowdown_weight: 0.3,
+        slowdown_half_life_s: 4.0,
+        slowdown_threshold: 2.0,
     },
     planning: PlanningSettings {
         batch_reserve: 0.06,
         reserve_wait: Duration::from_millis(1_000),
-        serving_load: 0.55,
-        best_effort_floor: 0.5,
-        tail_aim: 0.75,
-        tasks_on_trial: 2,
+        serving_utilization: 0.55,
+        best_effort_min_share: 0.5,
+        tail_limit: 0.75,
+        trial_tasks_per_worker: 2,
         starvation_wait: Duration::from_millis(1_500),
-        starvation_load: 0.6,
+        starvation_max_load: 0.6,
         regroup_interval: Duration::from_millis(1_000),
-        rest_after_move: Duration::from_secs(20),
-        arrival_time: Duration::from_millis(1_000),
-        size_handicap: 20.0,
-        hopeless_factor: 3.0,
+        move_cooldown: Duration::from_secs(20),
+        usage_report_delay: Duration::from_millis(1_000),
+        remaining_work_weight: 20.0,
+        long_overdue_factor: 3.0,
     },
     interference: InterferenceSettings {
         half_life_s: 20.0,
