--- a/crates/teaseltrack/src/cell/planning.rs
+++ b/crates/teaseltrack/src/cell/planning.rs
@@ -110,7 +110,7 @@
     fn covers(&self, service: &str, stage: &Stage) -> bool {
         let sizes = self.sizes.get(&Self::key(service, stage));
         !stage.is_long_running
-            && sizes.is_some_and(|sizes| sizes.iter().any(|size| stage.resources.holds(size)))
+            && sizes.is_some_and(|sizes| sizes.iter().any(|size| stage.resources.can_fit(size)))
     }
 
     /// Records a size that could not be placed, unless the stage has constraints other than its
