--- a/crates/teaseltrack-daemon/src/http_client.rs
+++ b/crates/teaseltrack-daemon/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP client with a connection pool and a deadline on each call.
+//! HTTP client with a connection pool and a timeout for each call.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,37 +16,37 @@
 
 use crate::problem::Problem;
 
-/// Largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// Time for which an idle connection is kept.
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Timeout after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time to connect.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Idle connections to one address.
+/// Maximum idle connections per address.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// Why a call got no good answer.
+/// Failure of an HTTP call.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection could be made, so the call didn't arrive.
+    /// The connection failed, so the request wasn't sent.
     #[snafu(display("{address} can't be reached"))]
     Unreachable {
-        /// Address that was called.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The call was sent and its answer never came, or stopped short.
+    /// The request may have been sent, but no complete response was received in time.
     #[snafu(display("no answer from {address}"))]
-    AnswerLost {
-        /// Address that was called.
+    ResponseLost {
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The other side refused.
+    /// The server refused the request.
     #[snafu(display("{}", problem.detail))]
     Refused {
         /// The refusal.
         problem: Box<Problem>,
     },
-    /// The answer can't be read.
+    /// The response body can't be parsed.
     #[snafu(display("unreadable answer: {source}"))]
     Unreadable {
         /// Cause.
@@ -55,21 +55,21 @@
 }
 
 impl CallError {
-    /// The error kind of the failed call.
+    /// Error kind of the failure.
     pub fn kind(&self) -> ErrorKind {
         match self {
             Self::Unreachable { .. } => ErrorKind::Unreachable,
-            Self::AnswerLost { .. } => ErrorKind::AnswerLost,
+            Self::ResponseLost { .. } => ErrorKind::AnswerLost,
             Self::Refused { problem } => problem.reason,
             Self::Unreadable { .. } => ErrorKind::Internal,
         }
     }
 }
 
-/// A whole answer.
+/// Response with its complete body.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// HTTP status.
+pub struct BufferedResponse {
+    /// Status code.
     pub status: StatusCode,
     /// Headers.
     pub headers: http::HeaderMap,
@@ -77,7 +77,7 @@
     pub body: Bytes,
 }
 
-/// HTTP client, cheap to clone.
+/// HTTP client; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -85,7 +85,7 @@
 }
 
 impl HttpClient {
-    /// A client that waits at most `timeout` for each whole answer.
+    /// Creates a client that waits up to `timeout` for each complete response.
     pub fn new(timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -98,42 +98,46 @@
         Self { client, timeout }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// No connection, or no whole answer in time.
+    /// No connection, or no complete response in time.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let exchange = async {
             let response = self.client.request(request).await.map_err(|error| {
                 if error.is_connect() {
                     CallError::Unreachable { address }
                 } else {
-                    CallError::AnswerLost { address }
+                    CallError::ResponseLost { address }
                 }
             })?;
             let (parts, body) = response.into_parts();
-            let body = Limited::new(body, MAX_ANSWER_BYTES)
+            let body = Limited::new(body, MAX_RESPONSE_BYTES)
                 .collect()
                 .await
-                .map_err(|_| CallError::AnswerLost { address })?;
-            Ok(Answer { status: parts.status, headers: parts.headers, body: body.to_bytes() })
+                .map_err(|_| CallError::ResponseLost { address })?;
+            Ok(BufferedResponse {
+                status: parts.status,
+                headers: parts.headers,
+                body: body.to_bytes(),
+            })
         };
         match timeout(self.timeout, exchange).await {
             Ok(result) => result,
-            Err(_) => AnswerLostSnafu { address }.fail(),
+            Err(_) => ResponseLostSnafu { address }.fail(),
         }
     }
 
-    /// Calls with a JSON body and reads a JSON answer; a status of 400 or more is a refusal.
+    /// Sends a JSON body and parses the JSON response; a status of 400 or above is a refusal.
     ///
     /// # Errors
     ///
-    /// As [`Self::send`], or a refusal, or an unreadable answer.
+    /// As [`Self::send`], or a refusal, or an unparsable response.
     pub async fn call<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
@@ -148,10 +152,10 @@
             .header(CONTENT_TYPE, "application/json")
             .body(Full::from(text))
             .map_err(|error| refused(ErrorKind::InvalidInput, error.to_string()))?;
-        read_answer(&self.send(address, request).await?)
+        parse_response(&self.send(address, request).await?)
     }
 
-    /// Reads a JSON answer to a GET; a status of 400 or more is a refusal.
+    /// Sends a GET and parses the JSON response; a status of 400 or above is a refusal.
     ///
     /// # Errors
     ///
@@ -164,7 +168,7 @@
         let request = Request::get(format!("http://{address}{path_and_query}"))
             .body(Full::default())
             .map_err(|error| refused(ErrorKind::InvalidInput, error.to_string()))?;
-        read_answer(&self.send(address, request).await?)
+        parse_response(&self.send(address, request).await?)
     }
 }
 
@@ -172,19 +176,19 @@
     CallError::Refused { problem: Box::new(Problem::new(kind, detail)) }
 }
 
-/// Reads an answer's JSON body, or its refusal.
+/// Parses the JSON body of a response; a status of 400 or above is a refusal.
 ///
 /// # Errors
 ///
-/// A refusal, or an unreadable body.
-pub fn read_answer<T: DeserializeOwned>(answer: &Answer) -> Result<T, CallError> {
-    if answer.status.as_u16() < 400 {
-        let body: &[u8] = if answer.body.is_empty() { b"null" } else { &answer.body };
+/// A refusal, or an unparsable body.
+pub fn parse_response<T: DeserializeOwned>(response: &BufferedResponse) -> Result<T, CallError> {
+    if response.status.as_u16() < 400 {
+        let body: &[u8] = if response.body.is_empty() { b"null" } else { &response.body };
         return serde_json::from_slice(body).context(UnreadableSnafu);
     }
-    let problem = serde_json::from_slice(&answer.body).unwrap_or_else(|_| {
-        let text = String::from_utf8_lossy(&answer.body);
-        Problem::new(ErrorKind::Internal, format!("status {}: {text}", answer.status))
+    let problem = serde_json::from_slice(&response.body).unwrap_or_else(|_| {
+        let text = String::from_utf8_lossy(&response.body);
+        Problem::new(ErrorKind::Internal, format!("status {}: {text}", response.status))
     });
     Err(CallError::Refused { problem: Box::new(problem) })
 }
--- a/crates/teaseltrack-daemon/tests/metrics.rs
+++ b/crates/teaseltrack-daemon/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics as a scraper sees them.
+//! Exposition of metrics to a scraper.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use tokio_util::sync::CancellationToken;
 
 #[test]
-fn text_shows_counts_by_tag() {
-    let metrics = Metrics::off();
+fn text_counter_by_tag() {
+    let metrics = Metrics::scrape_only();
     metrics.count_tagged("submissions", "outcome", "accepted");
     metrics.count_tagged("submissions", "outcome", "accepted");
     metrics.count_tagged("submissions", "outcome", "refused");
@@ -22,21 +22,21 @@
         "teaseltrack_submissions_total{outcome=\"refused\"} 1",
         "teaseltrack_starts_refused_total 1",
     ] {
-        assert!(text.contains(line), "{line} isn't in\n{text}");
+        assert!(text.contains(line), "{line} missing in\n{text}");
     }
 }
 
 #[test]
-fn text_shows_the_last_level() {
-    let metrics = Metrics::off();
+fn text_gauge_last_value() {
+    let metrics = Metrics::scrape_only();
     metrics.gauge("jobs_open", 7);
     metrics.gauge("jobs_open", 3);
     assert!(metrics.text().unwrap().contains("teaseltrack_jobs_open 3"));
 }
 
 #[test]
-fn text_shows_durations_in_seconds() {
-    let metrics = Metrics::off();
+fn text_duration_in_seconds() {
+    let metrics = Metrics::scrape_only();
     metrics.time("commit", Duration::from_millis(3));
     let text = metrics.text().unwrap();
     assert!(text.contains("teaseltrack_commit_seconds_count 1"), "{text}");
@@ -45,8 +45,8 @@
 }
 
 #[tokio::test]
-async fn serve_metrics_answers_a_scrape() {
-    let metrics = Metrics::off();
+async fn serve_metrics_scrape() {
+    let metrics = Metrics::scrape_only();
     metrics.count("starts_refused");
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -54,8 +54,8 @@
     let request = http::Request::get(format!("http://{address}/metrics"))
         .body(http_body_util::Full::default())
         .unwrap();
-    let answer = HttpClient::new(Duration::from_secs(10)).send(address, request).await.unwrap();
-    let text = String::from_utf8(answer.body.to_vec()).unwrap();
+    let response = HttpClient::new(Duration::from_secs(10)).send(address, request).await.unwrap();
+    let text = String::from_utf8(response.body.to_vec()).unwrap();
     assert!(text.contains("teaseltrack_starts_refused_total 1"), "{text}");
     assert!(text.ends_with("# EOF\n"), "{text}");
 }
--- a/crates/teaseltrack-node/src/node.rs
+++ b/crates/teaseltrack-node/src/node.rs
@@ -216,7 +216,7 @@
     fn gossip(&mut self) -> Gossip {
         Gossip {
             sender: self.membership.local_member().clone(),
-            news: self.membership.take_pending_updates(MESSAGE_BUDGET_BYTES),
+            updates: self.membership.take_pending_updates(MESSAGE_BUDGET_BYTES),
             digest_hash: self.membership.digest_hash(),
             revision: self.configuration.revision(),
         }
@@ -224,7 +224,7 @@
 
     fn take_in(&mut self, gossip: &Gossip) {
         let now = self.clock.now();
-        let mut news = gossip.news.clone();
+        let mut news = gossip.updates.clone();
         news.push(gossip.sender.clone());
         self.membership.merge(news, now);
     }
--- a/crates/teaseltrack-platform/src/stream.rs
+++ b/crates/teaseltrack-platform/src/stream.rs
@@ -1,8 +1,8 @@
 //! Appending to hash-chained journals.
 //!
-//! An append is one transaction, conditional on the version of the stream's head. When its answer is
-//! lost, the row of the entry tells whether it took effect; if it isn't there, the same transaction is
-//! sent again, which the condition makes safe.
+//! An append is one transaction, conditional on the version of the stream's head. If its response
+//! is lost, the same transaction is retried; the condition keeps it from being applied twice. If a
+//! retry conflicts, the row of the entry shows whether an earlier try was committed.
 
 use std::time::{Duration, Instant};
 
@@ -18,48 +18,48 @@
 use crate::{
     history::read_entries,
     keys,
-    store::{CommitAnswer, Condition, Row, Store, StoreError, Transaction, Write},
+    store::{CommitOutcome, Condition, Row, Store, StoreError, Transaction, Write},
 };
 
-/// Least wait after a call without an answer.
+/// Minimum backoff after a failed call.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest wait after a call without an answer.
+/// Maximum backoff after a failed call.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What an append writes.
+/// Parameters of an append.
 #[derive(Clone, Debug)]
 pub struct Append {
-    /// Operator or instance that decided.
+    /// Operator or instance that made the decisions.
     pub author: String,
-    /// What was decided.
+    /// Content of the entry.
     pub body: EntryBody,
     /// Ownership period after the append.
     pub epoch: Epoch,
     /// Owner after the append.
     pub owner: Option<Owner>,
-    /// Conditions beside that on the head.
+    /// Conditions in addition to the one on the head's version.
     pub conditions: Vec<Condition>,
-    /// Writes beside those of the head and the entry.
+    /// Writes in addition to the head and the entry.
     pub writes: Vec<Write>,
-    /// Instant after which a lost answer is no longer settled; `None` for never.
-    pub give_up_at: Option<Instant>,
+    /// Time after which a failed commit is no longer retried; `None` to retry indefinitely.
+    pub retry_deadline: Option<Instant>,
 }
 
-/// What became of an append.
+/// Outcome of an append.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Appended {
-    /// It took effect.
+pub enum AppendOutcome {
+    /// The entry was committed.
     Committed(Box<JournalEntry>),
-    /// Someone else appended first; the stream must be opened again.
+    /// Another writer appended first; the stream must be reopened.
     HeadMoved,
-    /// Another condition didn't hold.
+    /// One of the additional conditions didn't hold.
     Conflict {
         /// The first row whose condition didn't hold.
         key: String,
     },
 }
 
-/// A stream as it was last seen.
+/// Position in a stream as of the last read or append.
 #[derive(Clone, Debug)]
 pub struct Stream {
     name: String,
@@ -67,27 +67,27 @@
     version: u64,
 }
 
-/// A new transaction identifier of an instance.
+/// Generates a unique transaction identifier prefixed with its author.
 pub fn transaction_id(author: &str) -> String {
     format!("{author}-{:016x}", rand::rng().random::<u64>())
 }
 
 impl Stream {
-    /// Reads a stream's head; a stream without one is empty.
+    /// Reads a stream's head; a stream without a head row is empty.
     ///
     /// # Errors
     ///
-    /// The store doesn't answer.
+    /// The store is unavailable.
     pub async fn open(store: &Store, name: &str) -> Result<Self, StoreError> {
         let row = store.read(&keys::head(name)).await?;
         Self::from_row(name, row.as_ref())
     }
 
-    /// A stream from its head's row.
+    /// Creates a stream from the row of its head.
     ///
     /// # Errors
     ///
-    /// The row can't be read.
+    /// The row can't be parsed.
     pub fn from_row(name: &str, row: Option<&Row>) -> Result<Self, StoreError> {
         let head = row.map(Row::parse::<StreamHead>).transpose()?.unwrap_or_default();
         let version = row.map_or(0, |row| row.version);
@@ -99,42 +99,42 @@
         &self.name
     }
 
-    /// The head as last seen.
+    /// Head as of the last read or append.
     pub fn head(&self) -> &StreamHead {
         &self.head
     }
 
-    /// Version of the head's row as last seen.
+    /// Version of the head's row as of the last read or append.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Appends an entry, and settles a lost answer by reading.
+    /// Appends an entry; retries after a lost response, and resolves a conflict by reading back.
     ///
     /// # Errors
     ///
-    /// The store didn't answer until `give_up_at`; the append may or may not have taken effect, and
-    /// the stream must be opened again.
+    /// No commit succeeded by `retry_deadline`; the append may or may not have taken effect, and
+    /// the stream must be reopened.
     pub async fn append(
         &mut self,
         store: &Store,
         clock: &SharedClock,
         append: Append,
-    ) -> Result<Appended, StoreError> {
-        let give_up_at = append.give_up_at;
+    ) -> Result<AppendOutcome, StoreError> {
+        let retry_deadline = append.retry_deadline;
         let (entry, head, transaction) = self.prepare(clock, append);
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             let error = match store.commit(transaction.clone()).await {
-                Ok(CommitAnswer::Committed { version }) => {
+                Ok(CommitOutcome::Committed { version }) => {
                     return Ok(self.advance(head, version, entry));
                 }
-                Ok(CommitAnswer::Conflict { key }) => {
-                    return self.settle_conflict(store, entry, head, key).await;
+                Ok(CommitOutcome::Conflict { key }) => {
+                    return self.resolve_conflict(store, entry, head, key).await;
                 }
                 Err(error) => error,
             };
-            if give_up_at.is_some_and(|deadline| clock.now() >= deadline) {
+            if retry_deadline.is_some_and(|deadline| clock.now() >= deadline) {
                 return Err(error);
             }
             let wait = backoff.after_failure(&mut rand::rng());
@@ -175,36 +175,41 @@
         (entry, head, transaction)
     }
 
-    fn advance(&mut self, head: StreamHead, version: u64, entry: JournalEntry) -> Appended {
+    fn advance(&mut self, head: StreamHead, version: u64, entry: JournalEntry) -> AppendOutcome {
         self.head = head;
         self.version = version;
-        Appended::Committed(Box::new(entry))
+        AppendOutcome::Committed(Box::new(entry))
     }
 
-    /// A conflict may stem from the transaction itself, sent before with its answer lost.
-    async fn settle_conflict(
+    /// Determines the outcome after a conflict, which may be caused by an earlier try of the same
+    /// transaction whose response was lost.
+    async fn resolve_conflict(
         &mut self,
         store: &Store,
         entry: JournalEntry,
         head: StreamHead,
         key: String,
-    ) -> Result<Appended, StoreError> {
-        let committed = self.entry_until_answered(store, entry.sequence).await;
+    ) -> Result<AppendOutcome, StoreError> {
+        let committed = self.read_entry_with_retries(store, entry.sequence).await;
         if committed.is_none_or(|sealed| sealed.hash != head.hash) {
             let is_head = key == keys::head(&self.name);
-            return Ok(if is_head { Appended::HeadMoved } else { Appended::Conflict { key } });
+            return Ok(if is_head {
+                AppendOutcome::HeadMoved
+            } else {
+                AppendOutcome::Conflict { key }
+            });
         }
-        let row = read_until_answered(store, &keys::head(&self.name)).await;
-        let seen = Self::from_row(&self.name, row.as_ref())?;
-        if seen.head == head {
-            return Ok(self.advance(seen.head, seen.version, entry));
+        let row = read_with_retries(store, &keys::head(&self.name)).await;
+        let current = Self::from_row(&self.name, row.as_ref())?;
+        if current.head == head {
+            return Ok(self.advance(current.head, current.version, entry));
         }
-        *self = seen;
-        Ok(Appended::Committed(Box::new(entry)))
+        *self = current;
+        Ok(AppendOutcome::Committed(Box::new(entry)))
     }
 
-    /// Reads an entry, wherever it is, again and again until the store answers.
-    async fn entry_until_answered(&self, store: &Store, sequence: u64) -> Option<SealedEntry> {
+    /// Reads an entry from the table or the archive, retrying until the store responds.
+    async fn read_entry_with_retries(&self, store: &Store, sequence: u64) -> Option<SealedEntry> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             if let Ok(entries) = read_entries(store, &self.name, sequence - 1).await {
@@ -216,8 +221,8 @@
     }
 }
 
-/// Reads a row, again and again until the store answers.
-pub async fn read_until_answered(store: &Store, key: &str) -> Option<Row> {
+/// Reads a row, retrying until the store responds.
+pub async fn read_with_retries(store: &Store, key: &str) -> Option<Row> {
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
     loop {
         match store.read(key).await {
