--- a/crates/teaseltrack-cell/src/agent.rs
+++ b/crates/teaseltrack-cell/src/agent.rs
@@ -36,7 +36,7 @@
         CALL_TIMEOUT, FULL_REPORT_INTERVAL, HOLD_WAIT, PACING, REPORT_WAIT, RETRY_PAUSE,
         WORKER_CALL_TIMEOUT,
     },
-    worker_port::{AddressedCall, WorkerAdapter, WorkerAnswer, WorkerCall, WorkerError},
+    worker_port::{AddressedCall, WorkerAdapter, WorkerCall, WorkerError, WorkerResponse},
 };
 
 pub mod voiding;
@@ -52,7 +52,7 @@
 
 /// What a worker says of itself, and its clock as it said so.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Announcement {
+pub struct Heartbeat {
     /// The worker.
     pub status: WorkerStatus,
     /// Its clock; `None` where it didn't say.
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub enum AgentEvent {
     /// The worker announced itself.
-    Announced(Announcement),
+    Heartbeat(Heartbeat),
     /// A hold came back.
     Held {
         /// Number of the hold.
@@ -71,7 +71,7 @@
         /// When it was sent.
         sent_at: Instant,
         /// Its result.
-        result: Result<WorkerAnswer, WorkerError>,
+        result: Result<WorkerResponse, WorkerError>,
     },
     /// A report came back.
     Reported {
@@ -91,7 +91,7 @@
         /// The order.
         order: Box<StartOrder>,
         /// Its result.
-        result: Result<WorkerAnswer, WorkerError>,
+        result: Result<WorkerResponse, WorkerError>,
     },
     /// A stop came back.
     Stopped {
@@ -124,9 +124,9 @@
     /// Who owns the cell.
     pub known_owner: watch::Receiver<KnownOwner>,
     /// When an owner that can commit was last heard; `None` once it says that it can't.
-    pub contact: watch::Sender<Option<Instant>>,
+    pub owner_contact: watch::Sender<Option<Instant>>,
     /// Whether ends are known that the owner hasn't committed.
-    pub has_open_ends: watch::Sender<bool>,
+    pub has_uncommitted_ends: watch::Sender<bool>,
     /// Where decisions are told.
     pub logger: Logger,
     /// What is counted.
@@ -238,7 +238,7 @@
 
     fn take(&mut self, event: AgentEvent) {
         match event {
-            AgentEvent::Announced(announcement) => self.take_announcement(announcement),
+            AgentEvent::Heartbeat(announcement) => self.take_announcement(announcement),
             AgentEvent::Held { number, sent_at, result } => self.take_hold(number, sent_at, result),
             AgentEvent::Reported { life, is_poll, refused_count, answer } => {
                 // An answer about an earlier life would make ends of this one forgotten unread.
@@ -259,10 +259,10 @@
 
     fn act(&mut self) {
         let now = self.context.clock.now();
-        let has_open_ends = !self.ended.is_empty();
-        self.context
-            .has_open_ends
-            .send_if_modified(|known| std::mem::replace(known, has_open_ends) != has_open_ends);
+        let has_uncommitted_ends = !self.ended.is_empty();
+        self.context.has_uncommitted_ends.send_if_modified(|known| {
+            std::mem::replace(known, has_uncommitted_ends) != has_uncommitted_ends
+        });
         if self.session != 0 && !self.is_holding && now >= self.hold_at {
             self.send_hold(now);
         }
@@ -286,8 +286,8 @@
         }
     }
 
-    fn take_announcement(&mut self, announcement: Announcement) {
-        let Announcement { status, clock_ms } = announcement;
+    fn take_announcement(&mut self, announcement: Heartbeat) {
+        let Heartbeat { status, clock_ms } = announcement;
         let known_born = self.status.as_ref().map_or(0, |known| known.started_unix_ms);
         if status.started_unix_ms < known_born {
             return;
@@ -340,7 +340,7 @@
         self.hold_number += 1;
         let number = self.hold_number;
         let wait = if self.has_listing { HOLD_WAIT } else { Duration::ZERO };
-        let call = self.addressed(WorkerCall::Hold {
+        let call = self.addressed(WorkerCall::Sync {
             lease_until_ms: self.lease_until_ms,
             forget_until: self.forget_until,
             wait,
@@ -356,7 +356,7 @@
         &mut self,
         number: u64,
         sent_at: Instant,
-        result: Result<WorkerAnswer, WorkerError>,
+        result: Result<WorkerResponse, WorkerError>,
     ) {
         if number != self.hold_number {
             return;
@@ -378,8 +378,8 @@
             }
         };
         let born = self.status.as_ref().map(|status| status.started_unix_ms);
-        if answer.born_unix_ms.is_some() && answer.born_unix_ms != born {
-            self.take_rebirth(answer.born_unix_ms);
+        if answer.started_unix_ms.is_some() && answer.started_unix_ms != born {
+            self.take_rebirth(answer.started_unix_ms);
             return;
         }
         if !self.is_reachable {
@@ -504,7 +504,7 @@
             return;
         };
         self.epoch = answer.epoch;
-        self.context.contact.send_replace((!answer.is_store_lost).then_some(now));
+        self.context.owner_contact.send_replace((!answer.is_store_lost).then_some(now));
         if answer.session > self.session {
             info!(self.context.logger, "session begun"; "worker" => &self.life,
                 "session" => answer.session, "epoch" => answer.epoch);
@@ -572,7 +572,7 @@
         &mut self,
         session: SessionToken,
         order: StartOrder,
-        result: Result<WorkerAnswer, WorkerError>,
+        result: Result<WorkerResponse, WorkerError>,
     ) {
         if session != self.session {
             return;
@@ -587,7 +587,7 @@
                 self.voiding.stop_taken(&order.task, order.attempt, now);
             }
             Err(WorkerError::Refused { reason }) => self.refuse(&order, &reason),
-            Err(WorkerError::Unanswered { message }) => {
+            Err(WorkerError::Unavailable { message }) => {
                 warn!(self.context.logger, "start without an answer";
                     "request_id" => &order.task.job, "task" => %order.task,
                     "attempt" => order.attempt, "error" => message);
@@ -659,10 +659,10 @@
 
 async fn within(
     limit: Duration,
-    call: impl Future<Output = Result<WorkerAnswer, WorkerError>>,
-) -> Result<WorkerAnswer, WorkerError> {
+    call: impl Future<Output = Result<WorkerResponse, WorkerError>>,
+) -> Result<WorkerResponse, WorkerError> {
     timeout(limit, call).await.unwrap_or_else(|_| {
-        Err(WorkerError::Unanswered { message: format!("nothing within {limit:?}") })
+        Err(WorkerError::Unavailable { message: format!("nothing within {limit:?}") })
     })
 }
 
--- a/crates/teaseltrack-cell/src/configuration.rs
+++ b/crates/teaseltrack-cell/src/configuration.rs
@@ -6,7 +6,7 @@
 use teaseltrack_platform::store::{Store, StoreError};
 use tokio::{sync::watch, time::sleep};
 
-use crate::constants::{FEED_WAIT, RETRY_PAUSE};
+use crate::constants::{MAX_CHANGES_WAIT, RETRY_PAUSE};
 
 /// Reads a configuration's text; the error says why it can't be read.
 pub type Decoder<T> = Arc<dyn Fn(&str) -> Result<T, String> + Send + Sync>;
@@ -68,7 +68,7 @@
         }
         return Ok(Some(version));
     };
-    let page = store.changes(&source.table, after, FEED_WAIT).await?;
+    let page = store.changes(&source.table, after, MAX_CHANGES_WAIT).await?;
     if page.is_history_lost {
         info!(logger, "history of the configuration was dropped; reading it anew");
         return Ok(None);
--- a/crates/teaseltrack-cell/src/constants.rs
+++ b/crates/teaseltrack-cell/src/constants.rs
@@ -55,7 +55,7 @@
 pub const VOID_AFTER: Duration = Duration::from_millis(700);
 /// Longest wait for changes in one call to the store; a connection that has gone silent is noticed
 /// within it and a call's timeout, which must leave time to put a configuration in force.
-pub const FEED_WAIT: Duration = Duration::from_millis(1_200);
+pub const MAX_CHANGES_WAIT: Duration = Duration::from_millis(1_200);
 
 /// Bounds of ownership: an owner's commits may each take several renewals on a slow store.
 pub const OWNERSHIP: OwnershipSettings = OwnershipSettings {
--- a/crates/teaseltrack-cell/src/entry.rs
+++ b/crates/teaseltrack-cell/src/entry.rs
@@ -26,7 +26,7 @@
 
 use crate::{
     calls::{CellClient, KnownOwner},
-    constants::{FEED_WAIT, RETRY_PAUSE},
+    constants::{MAX_CHANGES_WAIT, RETRY_PAUSE},
     rows::{OWNER_KEY, OWNERS_TABLE, Submission, cancellation_key, progress_key, submission_key},
 };
 
@@ -90,7 +90,7 @@
 
 /// Takes callers' jobs; cheap to clone.
 #[derive(Clone)]
-pub struct JobDesk {
+pub struct JobApi {
     /// The store.
     pub store: Store,
     /// The clock.
@@ -105,7 +105,7 @@
     pub metrics: Metrics,
 }
 
-impl JobDesk {
+impl JobApi {
     /// Stores a job; the same identifier again is the same job.
     pub async fn submit(
         &self,
@@ -271,7 +271,7 @@
         }
         return Ok(Some(version));
     };
-    let page = store.changes(OWNERS_TABLE, after, FEED_WAIT).await?;
+    let page = store.changes(OWNERS_TABLE, after, MAX_CHANGES_WAIT).await?;
     if page.is_history_lost {
         return Ok(None);
     }
--- a/crates/teaseltrack-cell/src/owner/loader.rs
+++ b/crates/teaseltrack-cell/src/owner/loader.rs
@@ -14,7 +14,7 @@
 use tokio::{sync::mpsc, time::sleep};
 
 use crate::{
-    constants::{FEED_WAIT, RETRY_PAUSE},
+    constants::{MAX_CHANGES_WAIT, RETRY_PAUSE},
     rows::{
         JOB_PARTS, JOBS_TABLE, JobRowKey, PROGRESS_PREFIX, Submission, name_in, parse_job_key,
         stored_job,
@@ -111,7 +111,7 @@
 }
 
 async fn next_rows(store: &Store, after: u64) -> Result<(u64, Vec<Row>), StoreError> {
-    let page = store.changes(JOBS_TABLE, after, FEED_WAIT).await?;
+    let page = store.changes(JOBS_TABLE, after, MAX_CHANGES_WAIT).await?;
     if page.is_history_lost {
         return list_jobs(store).await;
     }
--- a/crates/teaseltrack-cell/src/worker_port.rs
+++ b/crates/teaseltrack-cell/src/worker_port.rs
@@ -14,7 +14,7 @@
 pub enum WorkerError {
     /// No answer in time; the call may still be carried out.
     #[snafu(display("no answer: {message}"))]
-    Unanswered {
+    Unavailable {
         /// Cause.
         message: String,
     },
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCall {
     /// Extends the lease, forgets ends and lists what runs.
-    Hold {
+    Sync {
         /// End of the lease on the worker's clock.
         lease_until_ms: Option<u64>,
         /// Ends to forget, up to this number.
@@ -76,16 +76,16 @@
 
 /// A worker's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WorkerAnswer {
+pub struct WorkerResponse {
     /// The worker's clock.
     pub clock_ms: Option<u64>,
     /// Start of its present life, where it says so.
-    pub born_unix_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// What it runs, in answer to a hold.
     pub listing: Option<WorkerListing>,
 }
 
 /// Carries calls to the worker.
 pub type WorkerAdapter = Arc<
-    dyn Fn(AddressedCall) -> BoxFuture<'static, Result<WorkerAnswer, WorkerError>> + Send + Sync,
+    dyn Fn(AddressedCall) -> BoxFuture<'static, Result<WorkerResponse, WorkerError>> + Send + Sync,
 >;
--- a/crates/teaseltrack-cell/tests/agent.rs
+++ b/crates/teaseltrack-cell/tests/agent.rs
@@ -10,9 +10,9 @@
     clock::SystemClock,
 };
 use teaseltrack_cell::{
-    agent::{AGENT_MAILBOX_SIZE, AgentContext, AgentEvent, Announcement, run_agent},
+    agent::{AGENT_MAILBOX_SIZE, AgentContext, AgentEvent, Heartbeat, run_agent},
     calls::KnownOwner,
-    worker_port::{AddressedCall, WorkerAnswer, WorkerCall},
+    worker_port::{AddressedCall, WorkerCall, WorkerResponse},
 };
 use teaseltrack_daemon::{logs::silent, metrics::Metrics};
 use tokio::{
@@ -33,7 +33,7 @@
 }
 
 fn announced(born_unix_ms: u64) -> AgentEvent {
-    AgentEvent::Announced(Announcement { status: status(born_unix_ms), clock_ms: Some(1_000) })
+    AgentEvent::Heartbeat(Heartbeat { status: status(born_unix_ms), clock_ms: Some(1_000) })
 }
 
 fn answered(born_unix_ms: u64, session: u64, forget_until: u64) -> AgentEvent {
@@ -65,12 +65,12 @@
     let born_unix_ms = Arc::new(Mutex::new(1));
     let born = born_unix_ms.clone();
     let worker = Arc::new(move |call: AddressedCall| {
-        if let WorkerCall::Hold { forget_until, .. } = call.call {
+        if let WorkerCall::Sync { forget_until, .. } = call.call {
             hold_sender.send((call.session, forget_until)).ok();
         }
-        let answer = WorkerAnswer {
+        let answer = WorkerResponse {
             clock_ms: Some(1_000),
-            born_unix_ms: Some(*born.lock().unwrap()),
+            started_unix_ms: Some(*born.lock().unwrap()),
             listing: Some(WorkerListing::default()),
         };
         let answering: futures::future::BoxFuture<'static, _> = Box::pin(async move {
@@ -88,8 +88,8 @@
         worker,
         clock: Arc::new(SystemClock),
         known_owner,
-        contact: watch::channel(None).0,
-        has_open_ends: watch::channel(false).0,
+        owner_contact: watch::channel(None).0,
+        has_uncommitted_ends: watch::channel(false).0,
         logger: silent(),
         metrics: Metrics::scrape_only(),
     };
