--- a/crates/teaseltrack-cell/src/agent.rs
+++ b/crates/teaseltrack-cell/src/agent.rs
@@ -1,8 +1,8 @@
-//! The agent beside a worker: one task that knows the worker and the owner's orders.
+//! Agent of a worker: a single task that holds the worker's state and executes the owner's orders.
 //!
-//! It keeps the worker's lease with hold calls, which also list what runs and has ended; it reports
-//! that to the owner, and carries out orders. Calls run on their own and come back as events. A
-//! start without an answer is made void by a stop of the same attempt ([`voiding`]).
+//! Sync calls renew the worker's lease and list its runs and their ends, which the agent reports to
+//! the owner. All calls run in tasks of their own, whose results arrive as events. A start without
+//! a response is invalidated by a stop of the same attempt ([`unconfirmed_starts`]).
 
 use std::{
     sync::Arc,
@@ -30,142 +30,143 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    agent::voiding::Voiding,
+    agent::unconfirmed_starts::UnconfirmedStarts,
     calls::{CellClient, KnownOwner},
     constants::{
-        CALL_TIMEOUT, FULL_REPORT_INTERVAL, HOLD_WAIT, PACING, REPORT_WAIT, RETRY_PAUSE,
+        CALL_TIMEOUT, FULL_REPORT_INTERVAL, PACING, REPORT_WAIT, RETRY_DELAY, SYNC_WAIT,
         WORKER_CALL_TIMEOUT,
     },
     worker_port::{AddressedCall, WorkerAdapter, WorkerCall, WorkerError, WorkerResponse},
 };
 
-pub mod voiding;
+pub mod unconfirmed_starts;
 
-/// Pause before the next listing while the owner hasn't committed the ends of the last.
-const UNFORGOTTEN_PAUSE: Duration = Duration::from_millis(25);
-/// Pause after a worker didn't answer.
-const WORKER_RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Starts, stops and paces at the worker at once; each takes a connection.
+/// Delay of the next sync call while the owner hasn't committed all listed ends.
+const UNCOMMITTED_ENDS_DELAY: Duration = Duration::from_millis(25);
+/// Delay before the next sync call after a failed one.
+const WORKER_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Maximum number of concurrent start, stop and pace calls; each uses a connection.
 const MAX_WORKER_CALLS: usize = 6;
-/// Tries of a stop; the owner repeats a stop whose run is still listed.
-const STOP_TRIES: u32 = 20;
+/// Maximum number of tries of a stop call; the owner repeats the order while the run is listed.
+const MAX_STOP_TRIES: u32 = 20;
 
-/// What a worker says of itself, and its clock as it said so.
+/// Heartbeat of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// The worker.
+    /// Status of the worker.
     pub status: WorkerStatus,
-    /// Its clock; `None` where it didn't say.
+    /// Reading of the worker's clock, in milliseconds, if included.
     pub clock_ms: Option<u64>,
 }
 
-/// Events of an agent.
+/// Event for an agent's task.
 #[derive(Debug)]
 pub enum AgentEvent {
-    /// The worker announced itself.
+    /// The worker sent a heartbeat.
     Heartbeat(Heartbeat),
-    /// A hold came back.
-    Held {
-        /// Number of the hold.
+    /// A sync call completed.
+    Synced {
+        /// Sequence number of the call.
         number: u64,
-        /// When it was sent.
+        /// Time at which the call was sent.
         sent_at: Instant,
-        /// Its result.
+        /// Result of the call.
         result: Result<WorkerResponse, WorkerError>,
     },
-    /// A report came back.
+    /// A report call completed.
     Reported {
-        /// Life of the worker that it was about.
-        life: WorkerIncarnation,
-        /// Whether it waited for news.
+        /// Worker incarnation that was reported.
+        incarnation: WorkerIncarnation,
+        /// Whether the report waited for an update.
         is_poll: bool,
-        /// Refused starts that it told of.
+        /// Number of refused starts in the report.
         refused_count: usize,
-        /// The answer, if one came in time.
-        answer: Option<Box<ReportResponse>>,
+        /// Response, if it arrived in time.
+        response: Option<Box<ReportResponse>>,
     },
-    /// A start came back.
+    /// A start call completed.
     Started {
-        /// The session that it was sent under.
+        /// Session of the call.
         session: SessionToken,
         /// The order.
         order: Box<StartOrder>,
-        /// Its result.
+        /// Result of the call.
         result: Result<WorkerResponse, WorkerError>,
     },
-    /// A stop came back.
+    /// A stop call completed.
     Stopped {
-        /// The session that it was sent under.
+        /// Session of the call.
         session: SessionToken,
         /// The task.
         task: TaskName,
         /// Its attempt.
         attempt: AttemptNumber,
-        /// Whether the worker took it.
-        is_taken: bool,
+        /// Whether the worker accepted the call.
+        is_accepted: bool,
     },
-    /// A pace was set.
+    /// The worker applied a pace.
     Paced(PaceChange),
 }
 
-/// What an agent needs.
+/// Dependencies of an agent.
 #[derive(Clone)]
 pub struct AgentContext {
-    /// The instance.
+    /// Instance of the agent.
     pub instance: InstanceId,
-    /// Address of the process's inner port.
+    /// Address of the process's internal port.
     pub address: String,
     /// Start of the process, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
-    /// The worker.
+    /// Transport for calls to the worker.
     pub worker: WorkerAdapter,
     /// The clock.
     pub clock: SharedClock,
-    /// Who owns the cell.
+    /// Last known owner of the cell.
     pub known_owner: watch::Receiver<KnownOwner>,
-    /// When an owner that can commit was last heard; `None` once it says that it can't.
+    /// Publishes the time of the last response from an owner that can commit; `None` once the owner
+    /// reports that it can't.
     pub owner_contact: watch::Sender<Option<Instant>>,
-    /// Whether ends are known that the owner hasn't committed.
+    /// Publishes whether the agent has ends that the owner hasn't committed.
     pub has_uncommitted_ends: watch::Sender<bool>,
-    /// Where decisions are told.
+    /// Logger for decisions.
     pub logger: Logger,
-    /// What is counted.
+    /// Metrics.
     pub metrics: Metrics,
 }
 
-/// The agent's state.
+/// State of an agent.
 struct Agent {
     context: AgentContext,
     client: CellClient,
     events: mpsc::Sender<AgentEvent>,
     permits: Arc<Semaphore>,
     status: Option<WorkerStatus>,
-    life: WorkerIncarnation,
+    incarnation: WorkerIncarnation,
     clock_ms: u64,
     epoch: u64,
     session: SessionToken,
     lease_until_ms: Option<u64>,
     forget_until: u64,
-    taken_order: u64,
+    accepted_order: u64,
     running: Vec<RunningTask>,
     ended: Vec<EndedTask>,
     has_listing: bool,
     is_reachable: bool,
     refused: Vec<RefusedStart>,
-    voiding: Voiding,
+    unconfirmed_starts: UnconfirmedStarts,
     pacer: Pacer,
-    hold_number: u64,
-    is_holding: bool,
-    hold_at: Instant,
+    sync_number: u64,
+    is_syncing: bool,
+    next_sync_at: Instant,
     is_reporting: bool,
     is_polling: bool,
     needs_report: bool,
-    has_told_disturbances: bool,
-    full_report_at: Instant,
-    report_at: Instant,
+    has_sent_estimates: bool,
+    next_full_report_at: Instant,
+    next_report_at: Instant,
 }
 
-/// Runs the agent until `closing` is cancelled; `inbox` and `events` are two ends of one channel.
+/// Runs an agent until `closing` is cancelled; `events` is the sender of the channel of `inbox`.
 pub async fn run_agent(
     context: AgentContext,
     events: mpsc::Sender<AgentEvent>,
@@ -176,18 +177,18 @@
     let mut agent = Agent::new(context, events, now);
     loop {
         let now = agent.context.clock.now();
-        let pause = agent.next_wake(now).saturating_duration_since(now);
+        let delay = agent.next_wake(now).saturating_duration_since(now);
         tokio::select! {
             Some(event) = inbox.recv() => {
-                agent.take(event);
+                agent.handle_event(event);
                 while let Ok(event) = inbox.try_recv() {
-                    agent.take(event);
+                    agent.handle_event(event);
                 }
             }
-            () = sleep(pause) => {}
+            () = sleep(delay) => {}
             () = closing.cancelled() => return,
         }
-        agent.act();
+        agent.send_due_calls();
     }
 }
 
@@ -199,111 +200,114 @@
             events,
             permits: Arc::new(Semaphore::new(MAX_WORKER_CALLS)),
             status: None,
-            life: WorkerIncarnation::new(),
+            incarnation: WorkerIncarnation::new(),
             clock_ms: 0,
             epoch: 0,
             session: 0,
             lease_until_ms: None,
             forget_until: 0,
-            taken_order: 0,
+            accepted_order: 0,
             running: Vec::new(),
             ended: Vec::new(),
             has_listing: false,
             is_reachable: true,
             refused: Vec::new(),
-            voiding: Voiding::default(),
+            unconfirmed_starts: UnconfirmedStarts::default(),
             pacer: Pacer::new(PACING),
-            hold_number: 0,
-            is_holding: false,
-            hold_at: now,
+            sync_number: 0,
+            is_syncing: false,
+            next_sync_at: now,
             is_reporting: false,
             is_polling: false,
             needs_report: true,
-            has_told_disturbances: false,
-            full_report_at: now,
-            report_at: now,
+            has_sent_estimates: false,
+            next_full_report_at: now,
+            next_report_at: now,
         }
     }
 
     fn next_wake(&self, now: Instant) -> Instant {
         let mut wake = now + FULL_REPORT_INTERVAL;
-        if !self.is_holding && self.session != 0 {
-            wake = wake.min(self.hold_at);
+        if !self.is_syncing && self.session != 0 {
+            wake = wake.min(self.next_sync_at);
         }
         if !self.is_reporting || !self.is_polling {
-            wake = wake.min(self.report_at.max(now + Duration::from_millis(1)));
+            wake = wake.min(self.next_report_at.max(now + Duration::from_millis(1)));
         }
         wake
     }
 
-    fn take(&mut self, event: AgentEvent) {
+    fn handle_event(&mut self, event: AgentEvent) {
         match event {
-            AgentEvent::Heartbeat(announcement) => self.take_announcement(announcement),
-            AgentEvent::Held { number, sent_at, result } => self.take_hold(number, sent_at, result),
-            AgentEvent::Reported { life, is_poll, refused_count, answer } => {
-                // An answer about an earlier life would make ends of this one forgotten unread.
-                let answer = answer.filter(|_| life == self.life);
-                self.take_answer(is_poll, refused_count, answer);
+            AgentEvent::Heartbeat(heartbeat) => self.handle_heartbeat(heartbeat),
+            AgentEvent::Synced { number, sent_at, result } => {
+                self.handle_sync_result(number, sent_at, result);
+            }
+            AgentEvent::Reported { incarnation, is_poll, refused_count, response } => {
+                // A response about an earlier incarnation must not discard unprocessed ends of the
+                // current one.
+                let response = response.filter(|_| incarnation == self.incarnation);
+                self.handle_report_response(is_poll, refused_count, response);
             }
             AgentEvent::Started { session, order, result } => {
-                self.take_start_result(session, *order, result);
+                self.handle_start_result(session, *order, result);
             }
-            AgentEvent::Stopped { session, task, attempt, is_taken } => {
-                if session == self.session && is_taken {
-                    self.voiding.stop_taken(&task, attempt, self.context.clock.now());
+            AgentEvent::Stopped { session, task, attempt, is_accepted } => {
+                if session == self.session && is_accepted {
+                    self.unconfirmed_starts.stop_accepted(&task, attempt, self.context.clock.now());
                 }
             }
             AgentEvent::Paced(change) => self.pacer.confirm(&change),
         }
     }
 
-    fn act(&mut self) {
+    fn send_due_calls(&mut self) {
         let now = self.context.clock.now();
         let has_uncommitted_ends = !self.ended.is_empty();
-        self.context.has_uncommitted_ends.send_if_modified(|known| {
-            std::mem::replace(known, has_uncommitted_ends) != has_uncommitted_ends
+        self.context.has_uncommitted_ends.send_if_modified(|published| {
+            std::mem::replace(published, has_uncommitted_ends) != has_uncommitted_ends
         });
-        if self.session != 0 && !self.is_holding && now >= self.hold_at {
-            self.send_hold(now);
+        if self.session != 0 && !self.is_syncing && now >= self.next_sync_at {
+            self.send_sync(now);
         }
-        if now < self.report_at {
+        if now < self.next_report_at {
             return;
         }
         let Some(owner) = self.context.known_owner.borrow().address else { return };
-        if now >= self.full_report_at {
+        if now >= self.next_full_report_at {
             self.needs_report = true;
         }
         if self.needs_report && !self.is_reporting {
             self.is_reporting = true;
             self.needs_report = false;
-            let report = self.report(true, now);
+            let report = self.build_report(true, now);
             self.send_report(owner, report);
         }
         if !self.is_polling && self.session != 0 {
             self.is_polling = true;
-            let report = self.report(false, now);
+            let report = self.build_report(false, now);
             self.send_report(owner, report);
         }
     }
 
-    fn take_announcement(&mut self, announcement: Heartbeat) {
-        let Heartbeat { status, clock_ms } = announcement;
-        let known_born = self.status.as_ref().map_or(0, |known| known.started_unix_ms);
-        if status.started_unix_ms < known_born {
+    fn handle_heartbeat(&mut self, heartbeat: Heartbeat) {
+        let Heartbeat { status, clock_ms } = heartbeat;
+        let known_started_unix_ms = self.status.as_ref().map_or(0, |status| status.started_unix_ms);
+        if status.started_unix_ms < known_started_unix_ms {
             return;
         }
-        let life = status.incarnation();
-        if life != self.life {
-            info!(self.context.logger, "worker announced itself"; "worker" => &life,
-                "earlier_life" => &self.life);
-            self.begin_life(life);
+        let incarnation = status.incarnation();
+        if incarnation != self.incarnation {
+            info!(self.context.logger, "worker incarnation started"; "worker" => &incarnation,
+                "earlier_life" => &self.incarnation);
+            self.start_incarnation(incarnation);
         }
         if let Some(clock_ms) = clock_ms {
             self.clock_ms = self.clock_ms.max(clock_ms);
         }
         if self.status.as_ref() != Some(&status) {
             if status.is_draining {
-                info!(self.context.logger, "worker is draining"; "worker" => &self.life,
+                info!(self.context.logger, "worker is draining"; "worker" => &self.incarnation,
                     "remaining_ms" => status.remaining_ms);
             }
             self.needs_report = true;
@@ -311,8 +315,8 @@
         }
     }
 
-    fn begin_life(&mut self, life: WorkerIncarnation) {
-        self.life = life;
+    fn start_incarnation(&mut self, incarnation: WorkerIncarnation) {
+        self.incarnation = incarnation;
         self.clock_ms = 0;
         self.session = 0;
         self.lease_until_ms = None;
@@ -320,26 +324,26 @@
         self.ended.clear();
         self.is_reachable = true;
         self.pacer = Pacer::new(PACING);
-        self.drop_session_state();
+        self.reset_session_state();
     }
 
-    fn drop_session_state(&mut self) {
-        self.taken_order = 0;
+    fn reset_session_state(&mut self) {
+        self.accepted_order = 0;
         self.running.clear();
         self.has_listing = false;
         self.refused.clear();
-        self.voiding = Voiding::default();
-        self.has_told_disturbances = false;
-        self.is_holding = false;
-        self.hold_number += 1;
-        self.hold_at = self.context.clock.now();
+        self.unconfirmed_starts = UnconfirmedStarts::default();
+        self.has_sent_estimates = false;
+        self.is_syncing = false;
+        self.sync_number += 1;
+        self.next_sync_at = self.context.clock.now();
     }
 
-    fn send_hold(&mut self, now: Instant) {
-        self.is_holding = true;
-        self.hold_number += 1;
-        let number = self.hold_number;
-        let wait = if self.has_listing { HOLD_WAIT } else { Duration::ZERO };
+    fn send_sync(&mut self, now: Instant) {
+        self.is_syncing = true;
+        self.sync_number += 1;
+        let number = self.sync_number;
+        let wait = if self.has_listing { SYNC_WAIT } else { Duration::ZERO };
         let call = self.addressed(WorkerCall::Sync {
             lease_until_ms: self.lease_until_ms,
             forget_until: self.forget_until,
@@ -347,69 +351,69 @@
         });
         let (worker, events) = (self.context.worker.clone(), self.events.clone());
         tokio::spawn(async move {
-            let result = within(wait + CALL_TIMEOUT, worker(call)).await;
-            drop(events.send(AgentEvent::Held { number, sent_at: now, result }).await);
+            let result = with_timeout(wait + CALL_TIMEOUT, worker(call)).await;
+            drop(events.send(AgentEvent::Synced { number, sent_at: now, result }).await);
         });
     }
 
-    fn take_hold(
+    fn handle_sync_result(
         &mut self,
         number: u64,
         sent_at: Instant,
         result: Result<WorkerResponse, WorkerError>,
     ) {
-        if number != self.hold_number {
+        if number != self.sync_number {
             return;
         }
-        self.is_holding = false;
+        self.is_syncing = false;
         let now = self.context.clock.now();
-        let answer = match result {
-            Ok(answer) => answer,
+        let response = match result {
+            Ok(response) => response,
             Err(error) => {
                 self.context.metrics.count("worker_calls_failed");
                 if self.is_reachable {
-                    warn!(self.context.logger, "worker lost"; "worker" => &self.life,
+                    warn!(self.context.logger, "worker unreachable"; "worker" => &self.incarnation,
                         "error" => %error);
                 }
                 self.needs_report |= self.is_reachable;
                 self.is_reachable = false;
-                self.hold_at = now + WORKER_RETRY_PAUSE;
+                self.next_sync_at = now + WORKER_RETRY_DELAY;
                 return;
             }
         };
-        let born = self.status.as_ref().map(|status| status.started_unix_ms);
-        if answer.started_unix_ms.is_some() && answer.started_unix_ms != born {
-            self.take_rebirth(answer.started_unix_ms);
+        let known_started_unix_ms = self.status.as_ref().map(|status| status.started_unix_ms);
+        if response.started_unix_ms.is_some() && response.started_unix_ms != known_started_unix_ms {
+            self.handle_worker_restart(response.started_unix_ms);
             return;
         }
         if !self.is_reachable {
-            info!(self.context.logger, "worker regained"; "worker" => &self.life);
+            info!(self.context.logger, "worker reachable again"; "worker" => &self.incarnation);
             self.is_reachable = true;
             self.needs_report = true;
         }
-        self.clock_ms = self.clock_ms.max(answer.clock_ms.unwrap_or(0));
-        self.hold_at = now;
-        if let Some(listing) = answer.listing {
-            self.take_listing(listing, sent_at, now);
+        self.clock_ms = self.clock_ms.max(response.clock_ms.unwrap_or(0));
+        self.next_sync_at = now;
+        if let Some(listing) = response.listing {
+            self.process_listing(listing, sent_at, now);
         }
     }
 
-    /// A worker that answers from a later life than it announced.
-    fn take_rebirth(&mut self, born_unix_ms: Option<u64>) {
-        let (Some(status), Some(born_unix_ms)) = (self.status.as_mut(), born_unix_ms) else {
+    /// Handles a response from a later incarnation than in the last heartbeat.
+    fn handle_worker_restart(&mut self, started_unix_ms: Option<u64>) {
+        let (Some(status), Some(started_unix_ms)) = (self.status.as_mut(), started_unix_ms) else {
             return;
         };
-        if born_unix_ms < status.started_unix_ms {
+        if started_unix_ms < status.started_unix_ms {
             return;
         }
-        status.started_unix_ms = born_unix_ms;
-        let life = status.incarnation();
-        info!(self.context.logger, "worker answered from a new life"; "worker" => &life);
-        self.begin_life(life);
+        status.started_unix_ms = started_unix_ms;
+        let incarnation = status.incarnation();
+        info!(self.context.logger, "worker restarted"; "worker" => &incarnation);
+        self.start_incarnation(incarnation);
         self.needs_report = true;
     }
 
-    fn take_listing(&mut self, listing: WorkerListing, sent_at: Instant, now: Instant) {
+    fn process_listing(&mut self, listing: WorkerListing, sent_at: Instant, now: Instant) {
         let mut listing = listing;
         listing.ended.retain(|end| end.number > self.forget_until);
         let last_known = self.ended.last().map_or(self.forget_until, |end| end.number);
@@ -417,46 +421,48 @@
         if last_listed > last_known || !self.has_listing {
             self.needs_report = true;
         } else if !listing.ended.is_empty() {
-            self.hold_at = now + UNFORGOTTEN_PAUSE;
+            self.next_sync_at = now + UNCOMMITTED_ENDS_DELAY;
         }
         self.has_listing = true;
         self.ended = listing.ended;
         if let Some(running) = listing.running {
             self.running = running;
         }
-        let void = self.voiding.settle(&self.running, &self.ended, sent_at);
-        self.needs_report |= !void.is_empty();
-        self.refused.extend(void);
+        let not_started = self.unconfirmed_starts.resolve(&self.running, &self.ended, sent_at);
+        self.needs_report |= !not_started.is_empty();
+        self.refused.extend(not_started);
         let capacity = self.status.as_ref().map_or(0, |status| status.capacity.cpu_milli);
         let was_paused = self.pacer.is_paused();
         let changes = self.pacer.observe(&self.running, capacity, now);
         if self.pacer.is_paused() != was_paused {
             info!(self.context.logger, "best-effort tasks paused or resumed";
-                "worker" => &self.life, "is_paused" => self.pacer.is_paused(),
+                "worker" => &self.incarnation, "is_paused" => self.pacer.is_paused(),
                 "tail_to_target" => self.pacer.tail_to_target(), "tasks" => changes.len());
         }
-        let sharing = &self.context.metrics;
-        sharing.gauge("tail_to_target_percent", (100.0 * self.pacer.tail_to_target()) as u64);
-        sharing.gauge("runs", self.running.len() as u64);
+        let metrics = &self.context.metrics;
+        metrics.gauge("tail_to_target_percent", (100.0 * self.pacer.tail_to_target()) as u64);
+        metrics.gauge("runs", self.running.len() as u64);
         for change in changes {
             self.context.metrics.count("paces_set");
             self.send_pace(change);
         }
     }
 
-    fn report(&mut self, is_full: bool, now: Instant) -> Report {
-        // Ends stay true under a new session, and the worker may be gone before it lists them again.
-        let has_news = self.has_listing || !self.ended.is_empty();
-        let listing = (is_full && has_news).then(|| WorkerListing {
-            running: (self.has_listing && now >= self.full_report_at).then(|| self.running.clone()),
+    fn build_report(&mut self, is_full: bool, now: Instant) -> Report {
+        // Ends stay valid under a new session, and the worker may fail or shut down before it lists
+        // them again.
+        let has_content = self.has_listing || !self.ended.is_empty();
+        let listing = (is_full && has_content).then(|| WorkerListing {
+            running: (self.has_listing && now >= self.next_full_report_at)
+                .then(|| self.running.clone()),
             ended: self.ended.clone(),
         });
         if listing.as_ref().is_some_and(|listing| listing.running.is_some()) {
-            self.full_report_at = now + FULL_REPORT_INTERVAL;
+            self.next_full_report_at = now + FULL_REPORT_INTERVAL;
         }
-        let disturbances = (listing.is_some() && !self.has_told_disturbances)
-            .then(|| self.pacer.estimates().clone());
-        self.has_told_disturbances |= listing.is_some();
+        let estimates =
+            (listing.is_some() && !self.has_sent_estimates).then(|| self.pacer.estimates().clone());
+        self.has_sent_estimates |= listing.is_some();
         Report {
             agent: self.context.instance.clone(),
             started_unix_ms: self.context.started_unix_ms,
@@ -467,10 +473,10 @@
             is_worker_reachable: self.is_reachable,
             listing,
             refused: if is_full { self.refused.clone() } else { Vec::new() },
-            accepted_order: self.taken_order,
+            accepted_order: self.accepted_order,
             forgot_until: self.forget_until,
             interference_version: self.pacer.estimates().version,
-            interference: disturbances,
+            interference: estimates,
             wait_ms: if is_full { 0 } else { REPORT_WAIT.as_millis() as u64 },
         }
     }
@@ -478,19 +484,19 @@
     fn send_report(&self, owner: std::net::SocketAddr, report: Report) {
         let (client, events) = (self.client.clone(), self.events.clone());
         let (is_poll, refused_count) = (report.wait_ms > 0, report.refused.len());
-        let life = self.life.clone();
+        let incarnation = self.incarnation.clone();
         tokio::spawn(async move {
-            let answer = client.report(owner, report).await.map(Box::new);
-            let event = AgentEvent::Reported { life, is_poll, refused_count, answer };
+            let response = client.report(owner, report).await.map(Box::new);
+            let event = AgentEvent::Reported { incarnation, is_poll, refused_count, response };
             drop(events.send(event).await);
         });
     }
 
-    fn take_answer(
+    fn handle_report_response(
         &mut self,
         is_poll: bool,
         refused_count: usize,
-        answer: Option<Box<ReportResponse>>,
+        response: Option<Box<ReportResponse>>,
     ) {
         if is_poll {
             self.is_polling = false;
@@ -498,49 +504,49 @@
             self.is_reporting = false;
         }
         let now = self.context.clock.now();
-        let Some(answer) = answer.filter(|answer| answer.epoch >= self.epoch.max(1)) else {
+        let Some(response) = response.filter(|response| response.epoch >= self.epoch.max(1)) else {
             self.needs_report = true;
-            self.report_at = now + RETRY_PAUSE;
+            self.next_report_at = now + RETRY_DELAY;
             return;
         };
-        self.epoch = answer.epoch;
-        self.context.owner_contact.send_replace((!answer.is_store_lost).then_some(now));
-        if answer.session > self.session {
-            info!(self.context.logger, "session begun"; "worker" => &self.life,
-                "session" => answer.session, "epoch" => answer.epoch);
-            self.session = answer.session;
-            self.drop_session_state();
-            self.full_report_at = now;
-        } else if answer.session == self.session {
+        self.epoch = response.epoch;
+        self.context.owner_contact.send_replace((!response.is_store_lost).then_some(now));
+        if response.session > self.session {
+            info!(self.context.logger, "session started"; "worker" => &self.incarnation,
+                "session" => response.session, "epoch" => response.epoch);
+            self.session = response.session;
+            self.reset_session_state();
+            self.next_full_report_at = now;
+        } else if response.session == self.session {
             self.refused.drain(..refused_count.min(self.refused.len()));
         }
-        if answer.session != self.session || answer.session == 0 {
+        if response.session != self.session || response.session == 0 {
             return;
         }
-        if let Some(known) = answer.interference {
-            debug!(self.context.logger, "disturbances learned"; "version" => known.version,
-                "pairs" => known.pairs.len());
-            self.pacer.set_estimates(known);
-        }
-        self.lease_until_ms = self.lease_until_ms.max(answer.lease_until_ms);
-        if answer.forget_until > self.forget_until {
-            self.forget_until = answer.forget_until;
-            self.ended.retain(|end| end.number > answer.forget_until);
-            self.hold_at = now;
-        }
-        for (number, order) in (answer.first_order..).zip(answer.orders) {
-            if number == self.taken_order + 1 {
-                self.taken_order = number;
-                self.carry_out(order);
+        if let Some(estimates) = response.interference {
+            debug!(self.context.logger, "interference estimates updated";
+                "version" => estimates.version, "pairs" => estimates.pairs.len());
+            self.pacer.set_estimates(estimates);
+        }
+        self.lease_until_ms = self.lease_until_ms.max(response.lease_until_ms);
+        if response.forget_until > self.forget_until {
+            self.forget_until = response.forget_until;
+            self.ended.retain(|end| end.number > response.forget_until);
+            self.next_sync_at = now;
+        }
+        for (number, order) in (response.first_order..).zip(response.orders) {
+            if number == self.accepted_order + 1 {
+                self.accepted_order = number;
+                self.execute_order(order);
             }
         }
     }
 
-    fn carry_out(&mut self, order: Order) {
+    fn execute_order(&mut self, order: Order) {
         match order {
-            Order::Start(start) => self.start(start),
+            Order::Start(start) => self.send_start(start),
             Order::Stop(task, attempt) => {
-                info!(self.context.logger, "stop ordered"; "request_id" => &task.job,
+                info!(self.context.logger, "stop order received"; "request_id" => &task.job,
                     "task" => %task, "attempt" => attempt);
                 self.send_stop(task, attempt);
             }
@@ -548,11 +554,11 @@
         }
     }
 
-    fn start(&mut self, order: StartOrder) {
+    fn send_start(&mut self, order: StartOrder) {
         let is_draining = self.status.as_ref().is_some_and(|status| status.is_draining);
         let Some(lease_until_ms) = self.lease_until_ms.filter(|_| !is_draining) else {
             let reason = if is_draining { "worker is draining" } else { "no lease" };
-            self.refuse(&order, reason);
+            self.record_refusal(&order, reason);
             return;
         };
         let session = self.session;
@@ -561,14 +567,14 @@
         let permits = self.permits.clone();
         tokio::spawn(async move {
             let permit = permits.acquire().await;
-            let result = within(WORKER_CALL_TIMEOUT, worker(call)).await;
+            let result = with_timeout(WORKER_CALL_TIMEOUT, worker(call)).await;
             drop(permit);
             let event = AgentEvent::Started { session, order: Box::new(order), result };
             drop(events.send(event).await);
         });
     }
 
-    fn take_start_result(
+    fn handle_start_result(
         &mut self,
         session: SessionToken,
         order: StartOrder,
@@ -578,26 +584,26 @@
             return;
         }
         match result {
-            Ok(answer) => {
-                self.clock_ms = self.clock_ms.max(answer.clock_ms.unwrap_or(0));
+            Ok(response) => {
+                self.clock_ms = self.clock_ms.max(response.clock_ms.unwrap_or(0));
             }
             Err(WorkerError::Refused { reason }) if reason == "old" => {
                 let now = self.context.clock.now();
-                self.voiding.begin(&order.task, order.attempt);
-                self.voiding.stop_taken(&order.task, order.attempt, now);
+                self.unconfirmed_starts.add(&order.task, order.attempt);
+                self.unconfirmed_starts.stop_accepted(&order.task, order.attempt, now);
             }
-            Err(WorkerError::Refused { reason }) => self.refuse(&order, &reason),
+            Err(WorkerError::Refused { reason }) => self.record_refusal(&order, &reason),
             Err(WorkerError::Unavailable { message }) => {
-                warn!(self.context.logger, "start without an answer";
+                warn!(self.context.logger, "start call failed; stopping the attempt";
                     "request_id" => &order.task.job, "task" => %order.task,
                     "attempt" => order.attempt, "error" => message);
-                self.voiding.begin(&order.task, order.attempt);
+                self.unconfirmed_starts.add(&order.task, order.attempt);
                 self.send_stop(order.task, order.attempt);
             }
         }
     }
 
-    fn refuse(&mut self, order: &StartOrder, reason: &str) {
+    fn record_refusal(&mut self, order: &StartOrder, reason: &str) {
         self.context.metrics.count("starts_refused");
         info!(self.context.logger, "start refused"; "request_id" => &order.task.job,
             "task" => %order.task, "attempt" => order.attempt, "reason" => reason);
@@ -615,18 +621,18 @@
         let (worker, events) = (self.context.worker.clone(), self.events.clone());
         let permits = self.permits.clone();
         tokio::spawn(async move {
-            let mut is_taken = false;
-            for _ in 0..STOP_TRIES {
+            let mut is_accepted = false;
+            for _ in 0..MAX_STOP_TRIES {
                 let permit = permits.acquire().await;
-                let result = within(WORKER_CALL_TIMEOUT, worker(call.clone())).await;
+                let result = with_timeout(WORKER_CALL_TIMEOUT, worker(call.clone())).await;
                 drop(permit);
-                is_taken = result.is_ok();
-                if is_taken || matches!(result, Err(WorkerError::Refused { .. })) {
+                is_accepted = result.is_ok();
+                if is_accepted || matches!(result, Err(WorkerError::Refused { .. })) {
                     break;
                 }
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
-            let event = AgentEvent::Stopped { session, task, attempt, is_taken };
+            let event = AgentEvent::Stopped { session, task, attempt, is_accepted };
             drop(events.send(event).await);
         });
     }
@@ -641,11 +647,11 @@
         let (permits, logger) = (self.permits.clone(), self.context.logger.clone());
         tokio::spawn(async move {
             let permit = permits.acquire().await;
-            let result = within(WORKER_CALL_TIMEOUT, worker(call)).await;
+            let result = with_timeout(WORKER_CALL_TIMEOUT, worker(call)).await;
             drop(permit);
             match result {
                 Ok(_) => drop(events.send(AgentEvent::Paced(change)).await),
-                Err(error) => warn!(logger, "pace not taken"; "task" => %change.task,
+                Err(error) => warn!(logger, "pace not applied"; "task" => %change.task,
                     "attempt" => change.attempt, "error" => %error),
             }
         });
@@ -657,14 +663,14 @@
     }
 }
 
-async fn within(
+async fn with_timeout(
     limit: Duration,
     call: impl Future<Output = Result<WorkerResponse, WorkerError>>,
 ) -> Result<WorkerResponse, WorkerError> {
     timeout(limit, call).await.unwrap_or_else(|_| {
-        Err(WorkerError::Unavailable { message: format!("nothing within {limit:?}") })
+        Err(WorkerError::Unavailable { message: format!("no response within {limit:?}") })
     })
 }
 
-/// Orders that an agent's channel may hold.
+/// Capacity of an agent's event channel.
 pub const AGENT_MAILBOX_SIZE: usize = 256;
--- a/crates/teaseltrack-cell/src/calls.rs
+++ b/crates/teaseltrack-cell/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between the processes of a cell.
+//! RPC server and client for calls between the processes of a cell.
 
 use std::{
     net::SocketAddr,
@@ -29,51 +29,54 @@
 
 use crate::constants::{CALL_TIMEOUT, CONNECT_TIMEOUT};
 
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A call that reached this process.
+/// Call received by this process.
 #[derive(Debug)]
 pub enum InboundCall {
     /// An agent's report.
     Report(Box<Report>, oneshot::Sender<ReportResponse>),
-    /// A question for a job's state.
+    /// A query for a job's state.
     JobState(JobId, oneshot::Sender<JobLookup>),
-    /// A question for a queue's pending jobs.
+    /// A query for the number of pending jobs of a queue.
     PendingCount(QueueName, oneshot::Sender<Option<u64>>),
 }
 
-/// Who owns the cell, as far as this process knows.
+/// Last known owner of the cell; may be outdated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KnownOwner {
-    /// Its epoch; 0 if none is known.
+    /// Epoch of the owner; 0 if no owner is known.
     pub epoch: u64,
-    /// Address of its inner port.
+    /// Address of the owner's internal port.
     pub address: Option<SocketAddr>,
 }
 
-/// Where calls to this process go: to its owner task while it has one.
+/// RPC server; forwards calls to the owner task while this process owns the cell.
 #[derive(Clone, Debug)]
 pub struct CallServer {
-    /// The owner task, if this process owns the cell.
+    /// Mailbox of the owner task, if this process owns the cell.
     pub owner: watch::Receiver<Option<mpsc::Sender<InboundCall>>>,
-    /// Who owns the cell otherwise.
+    /// Last known owner, returned while this process isn't the owner.
     pub known_owner: watch::Receiver<KnownOwner>,
 }
 
 impl CallServer {
-    async fn ask<T>(&self, call: impl FnOnce(oneshot::Sender<T>) -> InboundCall) -> Option<T> {
+    async fn call_owner<T>(
+        &self,
+        call: impl FnOnce(oneshot::Sender<T>) -> InboundCall,
+    ) -> Option<T> {
         let owner = self.owner.borrow().clone()?;
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         owner.send(call(reply)).await.ok()?;
-        answer.await.ok()
+        response.await.ok()
     }
 }
 
 impl CellControl for CallServer {
     async fn report(self, _: context::Context, report: Report) -> ReportResponse {
-        let answer = self.ask(|reply| InboundCall::Report(Box::new(report), reply)).await;
-        answer.unwrap_or_else(|| {
+        let response = self.call_owner(|reply| InboundCall::Report(Box::new(report), reply)).await;
+        response.unwrap_or_else(|| {
             let owner_address =
                 self.known_owner.borrow().address.map(|address| address.to_string());
             ReportResponse { owner_address, ..ReportResponse::default() }
@@ -81,23 +84,25 @@
     }
 
     async fn job_state(self, _: context::Context, job: JobId) -> JobLookup {
-        self.ask(|reply| InboundCall::JobState(job, reply)).await.unwrap_or(JobLookup::NotOwner)
+        self.call_owner(|reply| InboundCall::JobState(job, reply))
+            .await
+            .unwrap_or(JobLookup::NotOwner)
     }
 
     async fn pending_count(self, _: context::Context, queue: QueueName) -> Option<u64> {
-        self.ask(|reply| InboundCall::PendingCount(queue, reply)).await.flatten()
+        self.call_owner(|reply| InboundCall::PendingCount(queue, reply)).await.flatten()
     }
 }
 
-/// Serves calls until `closing` is cancelled.
+/// Serves connections until `closing` is cancelled.
 pub async fn serve_calls(listener: TcpListener, server: CallServer, closing: CancellationToken) {
     loop {
-        let accepted = tokio::select! {
-            accepted = listener.accept() => accepted,
+        let connection = tokio::select! {
+            connection = listener.accept() => connection,
             () = closing.cancelled() => return,
         };
-        let Ok((stream, _)) = accepted else {
-            sleep(ACCEPT_PAUSE).await;
+        let Ok((stream, _)) = connection else {
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         drop(stream.set_nodelay(true));
@@ -106,49 +111,50 @@
         let calls = BaseChannel::with_defaults(transport).execute(server.clone().serve());
         let closing = closing.clone();
         tokio::spawn(async move {
-            let serving = calls.for_each(|call| async {
+            let serve_all = calls.for_each(|call| async {
                 tokio::spawn(call);
             });
             tokio::select! {
-                () = serving => {}
+                () = serve_all => {}
                 () = closing.cancelled() => {}
             }
         });
     }
 }
 
-/// A client that connects anew after each failure.
+/// RPC client with one connection, which is re-established after a failed call or for another
+/// address.
 #[derive(Clone, Debug, Default)]
 pub struct CellClient {
-    connected: Arc<Mutex<Option<(SocketAddr, CellControlClient)>>>,
+    connection: Arc<Mutex<Option<(SocketAddr, CellControlClient)>>>,
 }
 
 impl CellClient {
-    /// Reports to the process at `address`; `None` without an answer in time.
+    /// Sends a report to the process at `address`; `None` without a response in time.
     pub async fn report(&self, address: SocketAddr, report: Report) -> Option<ReportResponse> {
         let wait = CALL_TIMEOUT + Duration::from_millis(report.wait_ms);
         let client = self.client(address).await?;
-        let answer = timeout(wait, client.report(deadline(wait), report)).await;
-        self.unless_failed(address, answer)
+        let response = timeout(wait, client.report(deadline(wait), report)).await;
+        self.response_or_reset(address, response)
     }
 
-    /// State of a job; `None` without an answer in time.
+    /// State of a job; `None` without a response in time.
     pub async fn job_state(&self, address: SocketAddr, job: JobId) -> Option<JobLookup> {
         let client = self.client(address).await?;
         let call = client.job_state(deadline(CALL_TIMEOUT), job);
-        self.unless_failed(address, timeout(CALL_TIMEOUT, call).await)
+        self.response_or_reset(address, timeout(CALL_TIMEOUT, call).await)
     }
 
-    /// Pending jobs of a queue; `None` without an answer from the owner in time.
+    /// Number of pending jobs of a queue; `None` without a response from the owner in time.
     pub async fn pending_count(&self, address: SocketAddr, queue: QueueName) -> Option<u64> {
         let client = self.client(address).await?;
         let call = client.pending_count(deadline(CALL_TIMEOUT), queue);
-        self.unless_failed(address, timeout(CALL_TIMEOUT, call).await).flatten()
+        self.response_or_reset(address, timeout(CALL_TIMEOUT, call).await).flatten()
     }
 
     async fn client(&self, address: SocketAddr) -> Option<CellControlClient> {
-        if let Some((known, client)) = &*self.lock()
-            && *known == address
+        if let Some((connected_address, client)) = &*self.lock()
+            && *connected_address == address
         {
             return Some(client.clone());
         }
@@ -161,23 +167,23 @@
         Some(client)
     }
 
-    fn unless_failed<T, E, F>(
+    fn response_or_reset<T, E, F>(
         &self,
         address: SocketAddr,
-        answer: Result<Result<T, E>, F>,
+        response: Result<Result<T, E>, F>,
     ) -> Option<T> {
-        if let Ok(Ok(answer)) = answer {
-            return Some(answer);
+        if let Ok(Ok(response)) = response {
+            return Some(response);
         }
-        let mut connected = self.lock();
-        if connected.as_ref().is_some_and(|(known, _)| *known == address) {
-            *connected = None;
+        let mut connection = self.lock();
+        if connection.as_ref().is_some_and(|(connected_address, _)| *connected_address == address) {
+            *connection = None;
         }
         None
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Option<(SocketAddr, CellControlClient)>> {
-        self.connected.lock().unwrap_or_else(PoisonError::into_inner)
+        self.connection.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/teaseltrack-cell/src/candidate.rs
+++ b/crates/teaseltrack-cell/src/candidate.rs
@@ -1,9 +1,9 @@
-//! Takes the cell when its owner has gone.
+//! Takes over the cell when its owner fails or releases it.
 //!
-//! While the agent hears the owner, a candidate does nothing. Otherwise it looks at the owner's
-//! row, and takes the cell once the row has stood unchanged for the owner's silence, or at once if
-//! the owner has released it. A process that
-//! finds its own name there from an earlier life takes the cell at once.
+//! While the agent is in contact with the owner, the candidate is idle. Otherwise it reads the
+//! owner's row periodically, and takes over the cell once the row has been unchanged for the
+//! takeover timeout, or immediately if the owner has released the cell. A process whose earlier
+//! incarnation is named as the owner also takes over immediately.
 
 use std::time::{Duration, Instant};
 
@@ -21,55 +21,59 @@
 
 use crate::{
     calls::KnownOwner,
-    constants::{CANDIDATE_INTERVAL, CANDIDATE_STEP, CANDIDATE_STEPS, OWNER_SUSPECT_AFTER},
+    constants::{
+        CANDIDATE_CHECK_INTERVAL, CANDIDATE_DELAY_STEP, CANDIDATE_DELAY_STEPS,
+        OWNER_SUSPECT_TIMEOUT,
+    },
     owner::{OwnerContext, committer::Committer, run_owner},
     rows::{OWNER_KEY, OWNER_NOTICE_KEY},
 };
 
-/// When the agent last heard an owner that can commit.
+/// Time of the agent's last response from an owner that can commit.
 pub type OwnerContact = watch::Receiver<Option<Instant>>;
 
-/// A process that may own the cell.
+/// Candidate for the ownership of the cell.
 #[derive(Clone)]
 pub struct Candidate {
-    /// Its instance.
+    /// Instance of the process.
     pub instance: InstanceId,
-    /// Address of its inner port.
+    /// Address of the process's internal port.
     pub address: String,
-    /// Start of its process, in milliseconds since the Unix epoch.
+    /// Start of the process, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
-    /// What it needs as an owner.
+    /// Dependencies of the owner task.
     pub context: OwnerContext,
-    /// Who owns the cell, for the rest of the process.
+    /// Publishes the known owner to the rest of the process.
     pub known_owner: watch::Sender<KnownOwner>,
 }
 
-/// A cell that was just taken.
-struct Taken {
+/// Result of a successful takeover.
+struct Takeover {
     committer: Committer,
-    foreign_grants_end: Instant,
+    previous_grants_end: Instant,
 }
 
 impl Candidate {
-    /// Watches the owner, and runs the cell whenever it is taken, until `closing` is cancelled.
+    /// Monitors the owner and runs the cell after each takeover, until `closing` is cancelled.
     pub async fn run(self, contact: OwnerContact, closing: CancellationToken) {
-        let mut watch = OwnershipMonitor::default();
+        let mut monitor = OwnershipMonitor::default();
         loop {
             tokio::select! {
-                () = self.wait_for_suspicion(&contact) => {}
+                () = self.wait_until_suspect(&contact) => {}
                 () = closing.cancelled() => return,
             }
-            match self.look(&mut watch).await {
-                Ok(Some(taken)) => {
-                    let Taken { committer, foreign_grants_end } = taken;
+            match self.check_owner(&mut monitor).await {
+                Ok(Some(takeover)) => {
+                    let Takeover { committer, previous_grants_end } = takeover;
                     let context = self.context.clone();
-                    run_owner(context, committer, foreign_grants_end, closing.clone()).await;
-                    watch.reset();
+                    run_owner(context, committer, previous_grants_end, closing.clone()).await;
+                    monitor.reset();
                 }
-                Ok(None) => sleep(CANDIDATE_INTERVAL).await,
+                Ok(None) => sleep(CANDIDATE_CHECK_INTERVAL).await,
                 Err(error) => {
-                    warn!(self.context.logger, "owner's row can't be read"; "error" => %error);
-                    sleep(CANDIDATE_INTERVAL).await;
+                    warn!(self.context.logger, "failed to check or take over the ownership";
+                        "error" => %error);
+                    sleep(CANDIDATE_CHECK_INTERVAL).await;
                 }
             }
             if closing.is_cancelled() {
@@ -78,48 +82,56 @@
         }
     }
 
-    async fn wait_for_suspicion(&self, contact: &OwnerContact) {
+    async fn wait_until_suspect(&self, contact: &OwnerContact) {
         let mut contact = contact.clone();
         loop {
-            let Some(heard_at) = *contact.borrow_and_update() else { return };
-            let silence = self.context.clock.now().duration_since(heard_at);
-            let Some(rest) = OWNER_SUSPECT_AFTER.checked_sub(silence) else { return };
-            let lost = contact.wait_for(Option::is_none);
-            drop(timeout(rest.max(Duration::from_millis(1)), lost).await);
+            let Some(contact_at) = *contact.borrow_and_update() else { return };
+            let elapsed = self.context.clock.now().duration_since(contact_at);
+            let Some(remaining) = OWNER_SUSPECT_TIMEOUT.checked_sub(elapsed) else { return };
+            let contact_lost = contact.wait_for(Option::is_none);
+            drop(timeout(remaining.max(Duration::from_millis(1)), contact_lost).await);
         }
     }
 
-    async fn look(&self, watch: &mut OwnershipMonitor) -> Result<Option<Taken>, StoreError> {
+    async fn check_owner(
+        &self,
+        monitor: &mut OwnershipMonitor,
+    ) -> Result<Option<Takeover>, StoreError> {
         let row = self.context.store.read(OWNER_KEY).await?;
         let now = self.context.clock.now();
-        let Some(row) = row else { return self.take(None, now).await };
+        let Some(row) = row else { return self.take_over(None, now).await };
         let record: OwnerRecord = row.parse()?;
-        self.tell_owner(&record);
-        watch.observe(row.version, now);
+        self.update_known_owner(&record);
+        monitor.observe(row.version, now);
         if record.is_released {
-            return self.take(Some((record, row)), now).await;
+            return self.take_over(Some((record, row)), now).await;
         }
         if record.owner == self.instance && record.started_unix_ms == self.started_unix_ms {
-            // A takeover whose answer was lost, and which took effect after all. Since when is not
-            // known, so no lease is granted before the next commit.
+            // An earlier takeover by this process succeeded, but its response was lost. Its time is
+            // unknown, so no lease is granted before the next commit.
             let grant_period = self.context.ownership.grant_period;
             let renewed_at = now.checked_sub(grant_period).unwrap_or(now);
-            return Ok(Some(self.taken(record, row.version, renewed_at, now + grant_period)));
+            return Ok(Some(self.takeover(record, row.version, renewed_at, now + grant_period)));
         }
         if record.owner == self.instance && record.address == self.address {
             let is_first = record.epoch == 1;
-            let earlier_grants =
+            let earlier_grant_period =
                 if is_first { Duration::ZERO } else { self.context.ownership.grant_period };
-            return self.take(Some((record, row)), now + earlier_grants).await;
+            return self.take_over(Some((record, row)), now + earlier_grant_period).await;
         }
-        let delay = candidate_delay(&self.instance, row.version, CANDIDATE_STEP, CANDIDATE_STEPS);
-        let silence = self.context.ownership.takeover_timeout + delay;
-        let Some(since) = watch.unchanged_since(silence, now) else { return Ok(None) };
+        let delay = candidate_delay(
+            &self.instance,
+            row.version,
+            CANDIDATE_DELAY_STEP,
+            CANDIDATE_DELAY_STEPS,
+        );
+        let takeover_timeout = self.context.ownership.takeover_timeout + delay;
+        let Some(since) = monitor.unchanged_since(takeover_timeout, now) else { return Ok(None) };
         let grants_end = since + self.context.ownership.grant_period;
-        self.take(Some((record, row)), grants_end).await
+        self.take_over(Some((record, row)), grants_end).await
     }
 
-    fn tell_owner(&self, record: &OwnerRecord) {
+    fn update_known_owner(&self, record: &OwnerRecord) {
         let Ok(address) = record.address.parse() else { return };
         let known = KnownOwner { epoch: record.epoch, address: Some(address) };
         self.known_owner.send_if_modified(|current| {
@@ -131,11 +143,11 @@
         });
     }
 
-    async fn take(
+    async fn take_over(
         &self,
         known: Option<(OwnerRecord, Row)>,
-        foreign_grants_end: Instant,
-    ) -> Result<Option<Taken>, StoreError> {
+        previous_grants_end: Instant,
+    ) -> Result<Option<Takeover>, StoreError> {
         let (epoch, version) = known.map_or((0, 0), |(record, row)| (record.epoch, row.version));
         let record = OwnerRecord {
             epoch: epoch + 1,
@@ -157,20 +169,20 @@
         match self.context.store.commit(transaction).await? {
             CommitOutcome::Conflict { .. } => Ok(None),
             CommitOutcome::Committed { version } => {
-                info!(self.context.logger, "cell taken"; "epoch" => record.epoch);
-                self.tell_owner(&record);
-                Ok(Some(self.taken(record, version, sent_at, foreign_grants_end)))
+                info!(self.context.logger, "cell taken over"; "epoch" => record.epoch);
+                self.update_known_owner(&record);
+                Ok(Some(self.takeover(record, version, sent_at, previous_grants_end)))
             }
         }
     }
 
-    fn taken(
+    fn takeover(
         &self,
         record: OwnerRecord,
         version: u64,
         renewed_at: Instant,
-        foreign_grants_end: Instant,
-    ) -> Taken {
+        previous_grants_end: Instant,
+    ) -> Takeover {
         let committer = Committer {
             store: self.context.store.clone(),
             clock: self.context.clock.clone(),
@@ -179,6 +191,6 @@
             renewed_at,
             logger: self.context.logger.clone(),
         };
-        Taken { committer, foreign_grants_end }
+        Takeover { committer, previous_grants_end }
     }
 }
--- a/crates/teaseltrack-cell/src/configuration.rs
+++ b/crates/teaseltrack-cell/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, followed through the store.
+//! Follows the active configuration in the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,20 +6,20 @@
 use teaseltrack_platform::store::{Store, StoreError};
 use tokio::{sync::watch, time::sleep};
 
-use crate::constants::{MAX_CHANGES_WAIT, RETRY_PAUSE};
+use crate::constants::{MAX_CHANGES_WAIT, RETRY_DELAY};
 
-/// Reads a configuration's text; the error says why it can't be read.
+/// Parses the text of a configuration; the error is the reason why it is invalid.
 pub type Decoder<T> = Arc<dyn Fn(&str) -> Result<T, String> + Send + Sync>;
 
-/// Where a configuration lies and how it is read.
+/// Location and format of a configuration in the store.
 pub struct ConfigurationSource<T> {
-    /// Table that is followed.
+    /// Table whose changes are followed.
     pub table: String,
-    /// Key of the row.
+    /// Key of the configuration's row.
     pub key: String,
-    /// Reads the row's text.
+    /// Parses the row's value.
     pub decode: Decoder<T>,
-    /// Version of a configuration.
+    /// Returns the version of a configuration.
     pub version: fn(&T) -> u64,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Follows the configuration and hands on each newer version; an older one is never taken.
+/// Follows the configuration and publishes each newer version; older versions are ignored.
 pub async fn follow_configuration<T>(
     store: Store,
     source: ConfigurationSource<T>,
@@ -46,14 +46,15 @@
         match next_change(&store, &source, after, &sender, &logger).await {
             Ok(version) => after = version,
             Err(error) => {
-                warn!(logger, "configuration can't be followed"; "error" => %error);
-                sleep(RETRY_PAUSE * 2).await;
+                warn!(logger, "failed to follow the configuration"; "error" => %error);
+                sleep(RETRY_DELAY * 2).await;
             }
         }
     }
 }
 
-/// Reads the row, or waits for its next change; returns the version to go on from.
+/// Reads the row, or waits for changes after a version; returns the version to continue from, or
+/// `None` to read the row again.
 async fn next_change<T>(
     store: &Store,
     source: &ConfigurationSource<T>,
@@ -70,7 +71,7 @@
     };
     let page = store.changes(&source.table, after, MAX_CHANGES_WAIT).await?;
     if page.is_history_lost {
-        info!(logger, "history of the configuration was dropped; reading it anew");
+        info!(logger, "configuration changes no longer retained; reading the row again");
         return Ok(None);
     }
     for change in page.changes.iter().filter(|change| change.key == source.key) {
@@ -93,16 +94,16 @@
     let configuration = match (source.decode)(text) {
         Ok(configuration) => configuration,
         Err(error) => {
-            warn!(logger, "configuration can't be read"; "error" => error);
+            warn!(logger, "invalid configuration ignored"; "error" => error);
             return;
         }
     };
     let version = (source.version)(&configuration);
     sender.send_if_modified(|current| {
-        if current.as_ref().is_some_and(|known| (source.version)(known) >= version) {
+        if current.as_ref().is_some_and(|active| (source.version)(active) >= version) {
             return false;
         }
-        info!(logger, "configuration in force"; "version" => version);
+        info!(logger, "configuration applied"; "version" => version);
         *current = Some(Arc::new(configuration));
         true
     });
--- a/crates/teaseltrack-cell/src/constants.rs
+++ b/crates/teaseltrack-cell/src/constants.rs
@@ -1,4 +1,4 @@
-//! Bounds of a cell that no deployment sets.
+//! Timing and tuning constants of a cell; not configurable per deployment.
 
 use std::time::Duration;
 
@@ -7,64 +7,70 @@
     ownership::OwnershipSettings, pacing::PacingSettings, planning::PlanningSettings,
 };
 
-/// Longest lease granted to a worker, unless the platform's own bound is shorter: a takeover and a
-/// restart of the agent fit in, with the time that an outage leaves the owner to grant.
+/// Maximum lease granted to a worker, unless the platform's limit is shorter. Covers a takeover and
+/// a restart of the agent, along with the time for which an owner still grants leases during an
+/// outage.
 pub const MAX_LEASE: Duration = Duration::from_millis(5_000);
-/// Drift of workers' clocks that leases allow for; the platform promises 2%.
+/// Maximum drift of workers' clocks, as a fraction; the platform guarantees 2%.
 const CLOCK_DRIFT: f64 = 0.02;
-/// Margin on every wait for a lease's end: one stop of a worker's tasks.
+/// Safety margin on every wait for a lease to expire: the time that a worker takes to stop its
+/// tasks.
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
-/// Silence of an agent after which its worker gets no new tasks: two of its reports.
-const AGENT_SILENCE: Duration = Duration::from_millis(1_200);
-/// Pause of placement on a worker that refused a start.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(500);
+/// Time without a report from an agent after which its worker gets no new tasks: two missed
+/// reports.
+const AGENT_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time without new assignments to a worker after it refused a start.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Time between commits of an owner that has nothing else to commit.
+/// Interval of ownership renewals while there is nothing else to commit.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
-/// Rows of one commit; the platform takes 100 entries.
+/// Maximum rows in a commit; the platform accepts 100 entries per transaction.
 pub const MAX_COMMIT_ROWS: usize = 90;
-/// Owner's look at leases and due work.
-pub const OWNER_TICK: Duration = Duration::from_millis(100);
-/// Time after which an owner that can't commit asks to be replaced.
-pub const STORE_LOST_AFTER: Duration = Duration::from_millis(900);
-/// Silence of the owner after which an agent looks at the owner's row: a parked report and a
-/// message's way.
-pub const OWNER_SUSPECT_AFTER: Duration = Duration::from_millis(900);
-/// Time between two looks of a candidate at the owner's row.
-pub const CANDIDATE_INTERVAL: Duration = Duration::from_millis(250);
-/// Step between the delays of candidates: one transaction with its answer.
-pub const CANDIDATE_STEP: Duration = Duration::from_millis(60);
-/// Number of different delays.
-pub const CANDIDATE_STEPS: u64 = 8;
+/// Interval at which an owner checks leases and periodic work.
+pub const OWNER_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time without a successful commit after which an owner requests its replacement.
+pub const STORE_LOST_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time without contact to the owner after which an agent checks the owner's row: the wait of a
+/// parked report plus the transit time of its response.
+pub const OWNER_SUSPECT_TIMEOUT: Duration = Duration::from_millis(900);
+/// Interval at which a candidate checks the owner's row.
+pub const CANDIDATE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Step between the takeover delays of candidates: the duration of one transaction.
+pub const CANDIDATE_DELAY_STEP: Duration = Duration::from_millis(60);
+/// Number of distinct takeover delays.
+pub const CANDIDATE_DELAY_STEPS: u64 = 8;
 
-/// Time for which an owner parks a report that it has no news for.
+/// Maximum time for which an owner parks a report while it has no update for the agent.
 pub const REPORT_WAIT: Duration = Duration::from_millis(400);
-/// Time between full reports of an agent.
+/// Interval between full reports of an agent.
 pub const FULL_REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Time beyond the wait within which a call between processes must be answered.
+/// Timeout of a call between processes, in addition to its requested wait.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time to connect to another process.
+/// Timeout for connecting to another process.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for which a worker holds a listing back while nothing ends.
-pub const HOLD_WAIT: Duration = Duration::from_millis(500);
-/// Pause after a call that failed: short against every bound, long against a call's cost.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Time within which a worker's answer to a start or stop is awaited.
+/// Maximum time for which a worker delays its response to a sync call until a run ends.
+pub const SYNC_WAIT: Duration = Duration::from_millis(500);
+/// Delay before a failed call is retried: short compared with every timeout, long compared with the
+/// cost of a call.
+pub const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Timeout of start, stop and pace calls to a worker.
 pub const WORKER_CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after a worker took the stop of a run that may not exist, until its absence is believed.
-pub const VOID_AFTER: Duration = Duration::from_millis(700);
-/// Longest wait for changes in one call to the store; a connection that has gone silent is noticed
-/// within it and a call's timeout, which must leave time to put a configuration in force.
+/// Time after a worker has accepted a stop until a listing without the run proves that the run
+/// never started.
+pub const STOP_SETTLE_TIME: Duration = Duration::from_millis(700);
+/// Maximum wait for changes in one call to the store. A dead connection is detected within this
+/// wait plus the call's timeout, which must leave time to apply a new configuration.
 pub const MAX_CHANGES_WAIT: Duration = Duration::from_millis(1_200);
 
-/// Bounds of ownership: an owner's commits may each take several renewals on a slow store.
+/// Timing of ownership; on a slow store, each commit of an owner may take several renewal
+/// intervals.
 pub const OWNERSHIP: OwnershipSettings = OwnershipSettings {
     takeover_timeout: Duration::from_millis(1_500),
     grant_period: Duration::from_millis(4_000),
 };
 
-/// Answers to tails. A pause and the time before it end well within the platform's bound on a tail
-/// over its target beside best-effort tasks.
+/// Pacing of best-effort tasks. A pause and the time before it are well within the platform's limit
+/// on how long a tail may exceed its target while colocated with best-effort tasks.
 pub const PACING: PacingSettings = PacingSettings {
     setpoint: 0.85,
     smoothing_factor: 0.4,
@@ -75,8 +81,8 @@
     pause_duration: Duration::from_millis(1_200),
 };
 
-/// Shares of a worker; a serving task uses about half of what it declares. A job may have nothing
-/// running for 3 s while half of the fleet is free: starvation ends well within that.
+/// Placement. A serving task uses about half of the CPU that it requests. The platform allows a job
+/// to have no runs for 3 s while half of the fleet is free; starvation ends well within that.
 const PLANNING: PlanningSettings = PlanningSettings {
     batch_reserve: 0.06,
     reserve_wait: Duration::from_millis(1_000),
@@ -93,8 +99,8 @@
     long_overdue_factor: 3.0,
 };
 
-/// Failures by a task's own fault are rare, so three in a row are the worker's. A run reports
-/// progress several times a second.
+/// Health detection. Failures caused by the task itself are rare, so three in a row are attributed
+/// to the worker. A run reports progress several times a second.
 const HEALTH: HealthSettings = HealthSettings {
     failure_threshold: 3,
     probation: Duration::from_millis(3_000),
@@ -104,8 +110,8 @@
     slowdown_threshold: 2.0,
 };
 
-/// Disturbance shifts within tens of seconds. Reports overlap in the half second that a tail is
-/// averaged over.
+/// Interference estimation. Interference changes within tens of seconds. Tails are averaged over
+/// half a second, so consecutive reports overlap and their noise is correlated.
 const INTERFERENCE: InterferenceSettings = InterferenceSettings {
     half_life_s: 20.0,
     max_sample_interval: Duration::from_millis(1_500),
@@ -114,14 +120,14 @@
     variance_inflation: 1.5,
 };
 
-/// An owner's settings under the platform's bound on leases.
+/// Settings of an owner, given the platform's limit on leases.
 pub fn cell_settings(max_lease: Duration) -> CellSettings {
     CellSettings {
         lease: MAX_LEASE.min(max_lease),
         clock_drift: CLOCK_DRIFT,
         lease_margin: LEASE_MARGIN,
-        agent_timeout: AGENT_SILENCE,
-        refusal_backoff: REFUSAL_PAUSE,
+        agent_timeout: AGENT_TIMEOUT,
+        refusal_backoff: REFUSAL_BACKOFF,
         health: HEALTH,
         planning: PLANNING,
         interference: INTERFERENCE,
--- a/crates/teaseltrack-cell/src/entry.rs
+++ b/crates/teaseltrack-cell/src/entry.rs
@@ -1,7 +1,7 @@
-//! What an entry does with callers' jobs.
+//! Operations of an entry on callers' jobs.
 //!
-//! A job is accepted once its row is stored, and cancelled once the row of its cancellation is.
-//! States come from the owner; while there is none, from what is stored.
+//! A job is accepted once its row is stored, and cancelled once the row of its cancellation is
+//! stored. States are read from the owner, or from the store while no owner responds.
 
 use std::time::{Duration, Instant};
 
@@ -26,20 +26,20 @@
 
 use crate::{
     calls::{CellClient, KnownOwner},
-    constants::{MAX_CHANGES_WAIT, RETRY_PAUSE},
+    constants::{MAX_CHANGES_WAIT, RETRY_DELAY},
     rows::{OWNER_KEY, OWNERS_TABLE, Submission, cancellation_key, progress_key, submission_key},
 };
 
 /// Outcome of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It is stored.
+    /// The job is stored.
     Accepted,
-    /// It can't be accepted, whoever asks.
+    /// The specification is invalid; a retry can't succeed.
     Invalid(InvalidJob),
-    /// It isn't stored and won't be.
+    /// The job is not stored and won't be.
     Refused,
-    /// It may be stored.
+    /// The job may or may not be stored.
     Unknown,
 }
 
@@ -58,11 +58,11 @@
 /// Outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// It is stored.
+    /// The cancellation is stored.
     Cancelled,
-    /// There is no such job.
+    /// No such job is stored.
     NoSuchJob,
-    /// It may be stored.
+    /// The cancellation may or may not be stored.
     Unknown,
 }
 
@@ -77,36 +77,36 @@
     }
 }
 
-/// Outcome of a question.
+/// Outcome of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup<T> {
-    /// The answer.
+    /// Result of the query.
     Found(T),
-    /// There is no such thing.
+    /// The object doesn't exist.
     Absent,
-    /// Nobody could be asked in time.
+    /// Neither the owner nor the store responded in time.
     Unavailable,
 }
 
-/// Takes callers' jobs; cheap to clone.
+/// Operations on jobs; cheap to clone.
 #[derive(Clone)]
 pub struct JobApi {
     /// The store.
     pub store: Store,
     /// The clock.
     pub clock: SharedClock,
-    /// Calls to the owner.
+    /// Client for calls to the owner.
     pub client: CellClient,
-    /// Who owns the cell.
+    /// Last known owner.
     pub known_owner: watch::Receiver<KnownOwner>,
-    /// Where decisions are told.
+    /// Logger for outcomes.
     pub logger: Logger,
-    /// What is counted.
+    /// Metrics.
     pub metrics: Metrics,
 }
 
 impl JobApi {
-    /// Stores a job; the same identifier again is the same job.
+    /// Stores a job; idempotent for the same identifier.
     pub async fn submit(
         &self,
         job: &JobId,
@@ -123,22 +123,22 @@
             conditions: vec![Condition { key: key.clone(), version: 0 }],
             writes: vec![Write::put(key, &Submission { spec, queue: queue.clone() })],
         };
-        // Unanswered calls, the one under way included.
-        let mut open_calls = 0_u32;
-        let storing = async {
+        // Number of calls without a definite response, including the one in flight.
+        let mut unanswered_calls = 0_u32;
+        let retry_loop = async {
             loop {
-                open_calls += 1;
+                unanswered_calls += 1;
                 match self.store.commit(transaction.clone()).await {
                     Ok(CommitOutcome::Committed { .. } | CommitOutcome::Conflict { .. }) => return,
-                    Err(StoreError::Refused { .. }) => open_calls -= 1,
+                    Err(StoreError::Refused { .. }) => unanswered_calls -= 1,
                     Err(_) => {}
                 }
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         };
-        let outcome = match timeout_at(deadline.into(), storing).await {
+        let outcome = match timeout_at(deadline.into(), retry_loop).await {
             Ok(()) => SubmitOutcome::Accepted,
-            Err(_) if open_calls > 0 => SubmitOutcome::Unknown,
+            Err(_) if unanswered_calls > 0 => SubmitOutcome::Unknown,
             Err(_) => SubmitOutcome::Refused,
         };
         self.metrics.count_tagged("submissions", "outcome", outcome.name());
@@ -149,20 +149,20 @@
 
     /// Stores the cancellation of a job.
     pub async fn cancel(&self, job: &JobId, deadline: Instant) -> CancelOutcome {
-        let cancelling = async {
+        let retry_loop = async {
             loop {
                 match self.try_cancel(job).await {
                     Ok(outcome) => return outcome,
                     Err(error) => {
-                        warn!(self.logger, "cancellation not stored yet"; "request_id" => job,
-                            "error" => %error);
-                        sleep(RETRY_PAUSE).await;
+                        warn!(self.logger, "failed to store the cancellation; retrying";
+                            "request_id" => job, "error" => %error);
+                        sleep(RETRY_DELAY).await;
                     }
                 }
             }
         };
         let outcome =
-            timeout_at(deadline.into(), cancelling).await.unwrap_or(CancelOutcome::Unknown);
+            timeout_at(deadline.into(), retry_loop).await.unwrap_or(CancelOutcome::Unknown);
         self.metrics.count_tagged("cancellations", "outcome", outcome.name());
         info!(self.logger, "job cancelled"; "request_id" => job, "outcome" => ?outcome);
         outcome
@@ -184,9 +184,9 @@
         Ok(CancelOutcome::Cancelled)
     }
 
-    /// State of a job.
+    /// Returns the state of a job.
     pub async fn state(&self, job: &JobId, deadline: Instant) -> Lookup<JobState> {
-        let looking = async {
+        let retry_loop = async {
             loop {
                 if let Some(state) = self.state_from_owner(job).await {
                     return Lookup::Found(state);
@@ -195,19 +195,19 @@
                     Ok(Some(state)) => return Lookup::Found(state),
                     Ok(None) => return Lookup::Absent,
                     Err(error) => {
-                        warn!(self.logger, "state can't be read"; "request_id" => job,
-                            "error" => %error);
-                        sleep(RETRY_PAUSE).await;
+                        warn!(self.logger, "failed to read the job's state; retrying";
+                            "request_id" => job, "error" => %error);
+                        sleep(RETRY_DELAY).await;
                     }
                 }
             }
         };
-        timeout_at(deadline.into(), looking).await.unwrap_or(Lookup::Unavailable)
+        timeout_at(deadline.into(), retry_loop).await.unwrap_or(Lookup::Unavailable)
     }
 
-    /// Jobs of a queue of which no task has started.
+    /// Returns the number of jobs of a queue without a started task.
     pub async fn pending_count(&self, queue: &QueueName, deadline: Instant) -> Lookup<u64> {
-        let counting = async {
+        let retry_loop = async {
             loop {
                 let owner = self.known_owner.borrow().address;
                 if let Some(address) = owner
@@ -215,10 +215,10 @@
                 {
                     return Lookup::Found(count);
                 }
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         };
-        timeout_at(deadline.into(), counting).await.unwrap_or(Lookup::Unavailable)
+        timeout_at(deadline.into(), retry_loop).await.unwrap_or(Lookup::Unavailable)
     }
 
     async fn state_from_owner(&self, job: &JobId) -> Option<JobState> {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// The stored state; a job whose owner hasn't written anything is queued.
+    /// Returns the stored state; a job without a progress row is queued.
     async fn state_from_store(&self, job: &JobId) -> Result<Option<JobState>, StoreError> {
         if self.store.read(&submission_key(job)).await?.is_none() {
             return Ok(None);
@@ -245,15 +245,15 @@
     }
 }
 
-/// Follows who owns the cell.
+/// Follows changes of the cell's owner and publishes them.
 pub async fn follow_owner(store: Store, sender: watch::Sender<KnownOwner>, logger: Logger) {
     let mut after: Option<u64> = None;
     loop {
         match next_owner(&store, after, &sender).await {
             Ok(version) => after = version,
             Err(error) => {
-                warn!(logger, "owner can't be followed"; "error" => %error);
-                sleep(RETRY_PAUSE * 2).await;
+                warn!(logger, "failed to follow the cell's owner; retrying"; "error" => %error);
+                sleep(RETRY_DELAY * 2).await;
             }
         }
     }
@@ -267,7 +267,7 @@
     let Some(after) = after else {
         let version = store.version(OWNERS_TABLE).await?;
         if let Some(row) = store.read(OWNER_KEY).await? {
-            tell_owner(&row.parse()?, sender);
+            update_known_owner(&row.parse()?, sender);
         }
         return Ok(Some(version));
     };
@@ -277,7 +277,7 @@
     }
     for value in page.changes.iter().filter_map(|change| change.value.as_ref()) {
         if let Ok(record) = serde_json::from_str::<OwnerRecord>(value) {
-            tell_owner(&record, sender);
+            update_known_owner(&record, sender);
         }
     }
     if page.version <= after && page.changes.is_empty() {
@@ -286,7 +286,7 @@
     Ok(Some(page.version.max(after)))
 }
 
-fn tell_owner(record: &OwnerRecord, sender: &watch::Sender<KnownOwner>) {
+fn update_known_owner(record: &OwnerRecord, sender: &watch::Sender<KnownOwner>) {
     let address = record.address.parse().ok();
     sender.send_if_modified(|known| {
         let is_newer = record.epoch > known.epoch;
--- a/crates/teaseltrack-cell/src/lib.rs
+++ b/crates/teaseltrack-cell/src/lib.rs
@@ -1,13 +1,14 @@
-//! A cell at work: the tasks and sockets around `teaseltrack::cell`.
+//! Runtime of a cell: the tasks and sockets around the state machine in `teaseltrack::cell`.
 //!
-//! - [`entry`] takes callers' jobs: it stores them, cancels them and tells their state.
-//! - [`agent`] stands beside a worker: it keeps the worker's lease, carries out orders and reports.
-//! - [`candidate`] runs in each agent and takes the cell when its owner has gone; [`owner`] is what
-//!   it then runs.
-//! - [`rows`] names what lies in the store, [`configuration`] follows the queues in force, and
-//!   [`calls`] carries the messages between processes.
+//! - [`entry`] serves callers' jobs: it stores and cancels jobs and returns their states.
+//! - [`agent`] manages the worker on its instance: it renews the worker's lease, executes orders
+//!   and reports to the owner.
+//! - [`candidate`] runs in each agent process and takes over the cell when its owner fails;
+//!   [`owner`] is the task that it then runs.
+//! - [`rows`] defines the stored rows, [`configuration`] follows the configuration of the queues,
+//!   and [`calls`] implements the RPCs between processes.
 //!
-//! Workers are reached through [`worker_port`], the store through `teaseltrack_platform::store`.
+//! Workers are called through [`worker_port`], the store through `teaseltrack_platform::store`.
 
 pub mod agent;
 pub mod calls;
--- a/crates/teaseltrack-cell/src/owner.rs
+++ b/crates/teaseltrack-cell/src/owner.rs
@@ -1,7 +1,7 @@
-//! The owner of a cell: one task that holds the cell's state.
+//! Owner of a cell: a single task that holds the cell's state.
 //!
-//! Reports, questions and submissions come as messages. Decisions are committed one batch at a
-//! time by [`committer`]; [`loader`] reads what is stored.
+//! Reports, queries and submissions arrive as messages. [`committer`] commits decisions one batch
+//! at a time; [`loader`] reads the stored state.
 
 use std::{
     collections::HashMap,
@@ -34,64 +34,64 @@
 use crate::{
     calls::InboundCall,
     configuration::{ConfigurationSource, follow_configuration},
-    constants::{MAX_COMMIT_ROWS, OWNER_TICK, RENEWAL_INTERVAL, STORE_LOST_AFTER},
+    constants::{MAX_COMMIT_ROWS, OWNER_TICK_INTERVAL, RENEWAL_INTERVAL, STORE_LOST_TIMEOUT},
     owner::{
         committer::{Committer, OwnershipLost},
-        loader::{JobNews, LoadedCell, follow_jobs, load},
+        loader::{JobUpdate, LoadedCell, follow_jobs, load},
     },
 };
 
 pub mod committer;
 pub mod loader;
 
-/// Messages that may wait for the owner.
+/// Capacity of the owner's mailbox, in calls.
 const MAILBOX_SIZE: usize = 512;
-/// Batches of submissions that may wait for the owner.
-const NEWS_SIZE: usize = 16;
+/// Capacity of the queue of job updates.
+const UPDATE_QUEUE_SIZE: usize = 16;
 
-/// Share of an owner's time that planning may take; reports and commits need the rest.
-const PLAN_SHARE: f64 = 0.4;
+/// Maximum share of the owner's time spent on planning; the rest is for reports and commits.
+const MAX_PLANNING_SHARE: f64 = 0.4;
 
-/// What an owner needs.
+/// Dependencies of the owner task.
 #[derive(Clone)]
 pub struct OwnerContext {
     /// The store.
     pub store: Store,
     /// The clock.
     pub clock: SharedClock,
-    /// Time of day.
+    /// Wall clock.
     pub wall_now: fn() -> SystemTime,
-    /// Bounds of the cell.
+    /// Settings of the cell.
     pub cell: CellSettings,
-    /// Bounds of ownership.
+    /// Timing of ownership.
     pub ownership: OwnershipSettings,
-    /// Where the queues in force are read.
+    /// Source of the queue configuration.
     pub configuration: ConfigurationSource<QueueConfiguration>,
-    /// Where calls find the owner.
+    /// Publishes the owner's mailbox to the RPC server.
     pub mailbox: watch::Sender<Option<mpsc::Sender<InboundCall>>>,
-    /// Where decisions are told.
+    /// Logger for decisions.
     pub logger: Logger,
-    /// What is counted.
+    /// Metrics.
     pub metrics: Metrics,
 }
 
-/// A report that waits for news.
+/// Report that waits for an update.
 #[derive(Debug)]
 struct ParkedReport {
     reply: oneshot::Sender<ReportResponse>,
-    answer_by: Instant,
-    taken_order: u64,
+    respond_by: Instant,
+    accepted_order: u64,
     forgot_until: u64,
     lease_until_ms: Option<u64>,
 }
 
-/// A commit at work; gives the committer back.
+/// Commit in flight; returns the committer.
 type CommitTask = JoinHandle<(Committer, Result<(), OwnershipLost>)>;
 
-/// Where an owner's messages come from.
+/// Receivers of an owner's messages.
 struct Inboxes {
     calls: mpsc::Receiver<InboundCall>,
-    news: mpsc::Receiver<JobNews>,
+    updates: mpsc::Receiver<JobUpdate>,
     configuration: watch::Receiver<Option<Arc<QueueConfiguration>>>,
 }
 
@@ -100,41 +100,41 @@
     cell: Cell,
     parked: HashMap<InstanceId, ParkedReport>,
     renewed_at: Instant,
-    plan_at: Instant,
+    next_plan_at: Instant,
     is_stopping: bool,
 }
 
 /// Runs a cell until it has another owner or `closing` is cancelled.
 ///
-/// `foreign_grants_end` is when the owner before can have granted its last lease.
+/// `previous_grants_end` is the latest time at which the previous owner may have granted a lease.
 pub async fn run_owner(
     context: OwnerContext,
     mut committer: Committer,
-    foreign_grants_end: Instant,
+    previous_grants_end: Instant,
     closing: CancellationToken,
 ) {
     let Some(loaded) = load_while_renewing(&context, &mut committer).await else { return };
     let epoch = committer.record.epoch;
     let mut cell =
-        Cell::new(context.cell, epoch, QueueConfiguration::default(), foreign_grants_end);
+        Cell::new(context.cell, epoch, QueueConfiguration::default(), previous_grants_end);
     let now = context.clock.now();
     let job_count = loaded.jobs.len();
     for job in loaded.jobs {
         cell.admit(job, now);
     }
-    info!(context.logger, "cell owned"; "epoch" => epoch, "jobs" => job_count,
+    info!(context.logger, "cell loaded"; "epoch" => epoch, "jobs" => job_count,
         "open_jobs" => cell.open_count());
     let (mailbox, calls) = mpsc::channel(MAILBOX_SIZE);
-    let (news_sender, news) = mpsc::channel(NEWS_SIZE);
-    let follower = tokio::spawn(follow_jobs(
+    let (update_sender, updates) = mpsc::channel(UPDATE_QUEUE_SIZE);
+    let job_follower = tokio::spawn(follow_jobs(
         context.store.clone(),
         loaded.version,
-        news_sender,
+        update_sender,
         context.wall_now,
         context.logger.clone(),
     ));
     let (configuration_sender, configuration) = watch::channel(None);
-    let configurer = tokio::spawn(follow_configuration(
+    let configuration_follower = tokio::spawn(follow_configuration(
         context.store.clone(),
         context.configuration.clone(),
         configuration_sender,
@@ -142,13 +142,13 @@
     ));
     context.mailbox.send_replace(Some(mailbox));
     let renewed_at = committer.renewed_at;
-    let plan_at = context.clock.now();
+    let next_plan_at = context.clock.now();
     let parked = HashMap::new();
-    let mut owner = Owner { context, cell, parked, renewed_at, plan_at, is_stopping: false };
-    owner.run(committer, Inboxes { calls, news, configuration }, closing).await;
+    let mut owner = Owner { context, cell, parked, renewed_at, next_plan_at, is_stopping: false };
+    owner.run(committer, Inboxes { calls, updates, configuration }, closing).await;
     owner.context.mailbox.send_replace(None);
-    follower.abort();
-    configurer.abort();
+    job_follower.abort();
+    configuration_follower.abort();
 }
 
 async fn load_while_renewing(
@@ -164,7 +164,7 @@
         }
         if committer.commit(&[]).await.is_err() {
             loading.abort();
-            warn!(context.logger, "cell lost while it was loaded");
+            warn!(context.logger, "ownership lost while loading the cell");
             return None;
         }
     }
@@ -179,21 +179,21 @@
     ) {
         let mut idle = Some(committer);
         let mut committing: Option<CommitTask> = None;
-        let mut ticks = interval(OWNER_TICK);
+        let mut ticks = interval(OWNER_TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 Some(call) = inboxes.calls.recv() => {
-                    self.take_call(call);
+                    self.handle_call(call);
                     while let Ok(call) = inboxes.calls.try_recv() {
-                        self.take_call(call);
+                        self.handle_call(call);
                     }
                 }
-                Some(news) = inboxes.news.recv() => self.take_news(news),
-                done = finished(&mut committing) => {
+                Some(update) = inboxes.updates.recv() => self.handle_update(update),
+                done = commit_result(&mut committing) => {
                     committing = None;
                     let Some((committer, Ok(()))) = done else {
-                        info!(self.context.logger, "cell has another owner";
+                        info!(self.context.logger, "ownership lost";
                             "epoch" => self.cell.epoch());
                         return;
                     };
@@ -205,9 +205,9 @@
                 }
                 _ = ticks.tick() => self.cell.tick(self.context.clock.now()),
                 Ok(()) = inboxes.configuration.changed() => {
-                    let in_force = inboxes.configuration.borrow_and_update().as_deref().cloned();
-                    if let Some(in_force) = in_force {
-                        self.cell.apply_configuration(in_force);
+                    let active = inboxes.configuration.borrow_and_update().as_deref().cloned();
+                    if let Some(active) = active {
+                        self.cell.apply_configuration(active);
                     }
                 }
                 () = closing.cancelled(), if !self.is_stopping => self.is_stopping = true,
@@ -226,7 +226,7 @@
                     committing
                 }
             };
-            self.answer_parked();
+            self.respond_to_parked();
             self.log_events();
             if self.is_stopping && committing.is_none() {
                 if let Some(mut committer) = idle
@@ -239,9 +239,9 @@
         }
     }
 
-    fn take_call(&mut self, call: InboundCall) {
+    fn handle_call(&mut self, call: InboundCall) {
         match call {
-            InboundCall::Report(report, reply) => self.take_report(*report, reply),
+            InboundCall::Report(report, reply) => self.handle_report(*report, reply),
             InboundCall::JobState(job, reply) => {
                 let lookup = self.cell.state(&job).map_or(JobLookup::Unknown, JobLookup::State);
                 reply.send(lookup).ok();
@@ -252,69 +252,70 @@
         }
     }
 
-    fn take_report(&mut self, report: Report, reply: oneshot::Sender<ReportResponse>) {
+    fn handle_report(&mut self, report: Report, reply: oneshot::Sender<ReportResponse>) {
         let now = self.context.clock.now();
         let may_grant = now < self.renewed_at + self.context.ownership.grant_period;
         let wait = Duration::from_millis(report.wait_ms);
         let (agent, session) = (report.agent.clone(), report.session);
-        let (taken_order, forgot_until) = (report.accepted_order, report.forgot_until);
-        let mut answer = self.cell.handle_report(report, may_grant, now);
-        answer.is_store_lost = self.is_store_lost(now);
-        let has_news = !answer.orders.is_empty()
-            || answer.forget_until > forgot_until
-            || answer.session != session;
-        if wait.is_zero() || has_news || answer.is_store_lost {
-            drop(reply.send(answer));
+        let (accepted_order, forgot_until) = (report.accepted_order, report.forgot_until);
+        let mut response = self.cell.handle_report(report, may_grant, now);
+        response.is_store_lost = self.is_store_lost(now);
+        let has_update = !response.orders.is_empty()
+            || response.forget_until > forgot_until
+            || response.session != session;
+        if wait.is_zero() || has_update || response.is_store_lost {
+            drop(reply.send(response));
             return;
         }
         let parked = ParkedReport {
             reply,
-            answer_by: now + wait,
-            taken_order,
+            respond_by: now + wait,
+            accepted_order,
             forgot_until,
-            lease_until_ms: answer.lease_until_ms,
+            lease_until_ms: response.lease_until_ms,
         };
-        if let Some(earlier) = self.parked.insert(agent.clone(), parked) {
-            drop(earlier.reply.send(self.cell.pending_update(&agent)));
+        if let Some(superseded) = self.parked.insert(agent.clone(), parked) {
+            drop(superseded.reply.send(self.cell.pending_update(&agent)));
         }
     }
 
     fn is_store_lost(&self, now: Instant) -> bool {
-        self.is_stopping || now.duration_since(self.renewed_at) > STORE_LOST_AFTER
+        self.is_stopping || now.duration_since(self.renewed_at) > STORE_LOST_TIMEOUT
     }
 
-    fn take_news(&mut self, news: JobNews) {
+    fn handle_update(&mut self, update: JobUpdate) {
         let now = self.context.clock.now();
-        for job in news.jobs {
-            debug!(self.context.logger, "job taken in"; "request_id" => &job.id,
+        for job in update.jobs {
+            debug!(self.context.logger, "job received from the store"; "request_id" => &job.id,
                 "queue" => &job.spec.queue, "stages" => job.spec.stages.len());
             self.cell.admit(job, now);
         }
-        for job in news.cancelled {
+        for job in update.cancelled {
             let is_known = self.cell.cancel(&job);
-            debug!(self.context.logger, "cancellation taken in"; "request_id" => &job,
-                "is_known" => is_known);
+            debug!(self.context.logger, "cancellation received from the store";
+                "request_id" => &job, "is_known" => is_known);
         }
     }
 
-    /// Plans, unless planning would take more than its share of the time.
+    /// Plans, unless planning has used up its share of the time.
     fn plan(&mut self) {
         let started_at = self.context.clock.now();
-        if !self.cell.needs_plan() || started_at < self.plan_at {
+        if !self.cell.needs_plan() || started_at < self.next_plan_at {
             return;
         }
         self.cell.plan(unix_ms((self.context.wall_now)()), started_at);
         let plan_time = self.context.clock.now().duration_since(started_at);
         self.context.metrics.time("plan", plan_time);
-        self.plan_at = started_at + plan_time.mul_f64(1.0 / PLAN_SHARE);
+        self.next_plan_at = started_at + plan_time.mul_f64(1.0 / MAX_PLANNING_SHARE);
     }
 
-    /// Sends the next commit, or gives the committer back if there is nothing to commit.
+    /// Starts the next commit, or returns the committer if there is nothing to commit.
     fn start_commit(&mut self, mut committer: Committer) -> Result<CommitTask, Box<Committer>> {
-        let is_due = self.context.clock.now().duration_since(self.renewed_at) >= RENEWAL_INTERVAL;
+        let is_renewal_due =
+            self.context.clock.now().duration_since(self.renewed_at) >= RENEWAL_INTERVAL;
         let rows = match self.cell.next_commit(MAX_COMMIT_ROWS) {
             Some(batch) => batch.rows,
-            None if is_due => Vec::new(),
+            None if is_renewal_due => Vec::new(),
             None => return Err(Box::new(committer)),
         };
         Ok(tokio::spawn(async move {
@@ -323,7 +324,7 @@
         }))
     }
 
-    fn answer_parked(&mut self) {
+    fn respond_to_parked(&mut self) {
         let now = self.context.clock.now();
         let is_store_lost = self.is_store_lost(now);
         let cell = &self.cell;
@@ -331,18 +332,18 @@
             .parked
             .iter()
             .filter(|(agent, parked)| {
-                parked.answer_by <= now
+                parked.respond_by <= now
                     || is_store_lost
-                    || cell.has_pending_update(agent, parked.taken_order, parked.forgot_until)
+                    || cell.has_pending_update(agent, parked.accepted_order, parked.forgot_until)
             })
             .map(|(agent, _)| agent.clone())
             .collect();
         for agent in ready {
             let Some(parked) = self.parked.remove(&agent) else { continue };
-            let mut answer = self.cell.pending_update(&agent);
-            answer.lease_until_ms = parked.lease_until_ms;
-            answer.is_store_lost = is_store_lost;
-            drop(parked.reply.send(answer));
+            let mut response = self.cell.pending_update(&agent);
+            response.lease_until_ms = parked.lease_until_ms;
+            response.is_store_lost = is_store_lost;
+            drop(parked.reply.send(response));
         }
     }
 
@@ -362,22 +363,22 @@
                         "attempt" => attempt, "worker" => worker, "cause" => ?cause);
                 }
                 CellEvent::Stalled { task, attempt, worker } => {
-                    info!(logger, "run stands still and is stopped"; "request_id" => &task.job,
+                    info!(logger, "stalled run is being stopped"; "request_id" => &task.job,
                         "task" => %task, "attempt" => attempt, "worker" => worker);
                 }
                 CellEvent::Moved { task, attempt, worker } => {
-                    info!(logger, "serving task is moved"; "request_id" => &task.job,
+                    info!(logger, "serving task is being moved"; "request_id" => &task.job,
                         "task" => %task, "attempt" => attempt, "worker" => worker);
                 }
                 CellEvent::Reclaimed { task, attempt, worker, reason } => {
-                    info!(logger, "task taken back"; "request_id" => &task.job, "task" => %task,
+                    info!(logger, "task reclaimed"; "request_id" => &task.job, "task" => %task,
                         "attempt" => attempt, "worker" => worker, "reason" => reason);
                 }
                 CellEvent::State { job, state } => {
                     info!(logger, "job ended"; "request_id" => job, "state" => ?state);
                 }
                 CellEvent::Session { worker, agent, session } => {
-                    info!(logger, "session begun"; "worker" => worker, "agent" => agent,
+                    info!(logger, "session started"; "worker" => worker, "agent" => agent,
                         "session" => session);
                 }
             }
@@ -385,7 +386,7 @@
     }
 }
 
-async fn finished(
+async fn commit_result(
     committing: &mut Option<CommitTask>,
 ) -> Option<(Committer, Result<(), OwnershipLost>)> {
     match committing {
--- a/crates/teaseltrack-cell/src/owner/committer.rs
+++ b/crates/teaseltrack-cell/src/owner/committer.rs
@@ -1,7 +1,7 @@
 //! Commits of an owner, each conditional on the owner's row.
 //!
-//! A commit without an answer is sent again as it was: its condition lets it take effect once. The
-//! row tells what became of it.
+//! A commit without a response is retried unchanged; its condition ensures that it takes effect at
+//! most once. If the condition fails, the row shows whether an earlier try was committed.
 
 use std::time::{Duration, Instant};
 
@@ -16,18 +16,18 @@
 use tokio::time::sleep;
 
 use crate::{
-    constants::RETRY_PAUSE,
+    constants::RETRY_DELAY,
     rows::{OWNER_KEY, progress_key},
 };
 
-/// Longest pause between two tries of a commit.
-const MAX_RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Maximum delay between two tries of a commit.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Another process owns the cell.
+/// The commit was rejected because another process owns the cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnershipLost;
 
-/// Writes what an owner decides.
+/// Commits the owner's decisions to the store.
 pub struct Committer {
     /// The store.
     pub store: Store,
@@ -35,16 +35,16 @@
     pub clock: SharedClock,
     /// The owner's row as last written.
     pub record: OwnerRecord,
-    /// Its version.
+    /// Version of the owner's row.
     pub version: u64,
-    /// When the last commit that took effect was first sent.
+    /// Time at which the last successful commit was first sent.
     pub renewed_at: Instant,
-    /// Where lost answers are told.
+    /// Logger for failed tries.
     pub logger: Logger,
 }
 
 impl Committer {
-    /// Commits progress; renews the ownership at the same time.
+    /// Commits progress rows and renews the ownership; retries until the outcome is known.
     ///
     /// # Errors
     ///
@@ -54,7 +54,7 @@
         let mut writes = vec![Write::put(OWNER_KEY.to_owned(), &next)];
         writes.extend(rows.iter().map(|(job, progress)| Write::put(progress_key(job), progress)));
         let first_sent_at = self.clock.now();
-        let mut pause = RETRY_PAUSE;
+        let mut delay = RETRY_DELAY;
         loop {
             match self.try_commit(&next, &writes).await {
                 Ok(Some(version)) => {
@@ -65,16 +65,16 @@
                 }
                 Ok(None) => return Err(OwnershipLost),
                 Err(error) => {
-                    warn!(self.logger, "commit without an answer";
+                    warn!(self.logger, "commit failed; retrying";
                         "sequence" => next.sequence, "rows" => rows.len(), "error" => %error);
-                    sleep(pause).await;
-                    pause = (pause * 2).min(MAX_RETRY_PAUSE);
+                    sleep(delay).await;
+                    delay = (delay * 2).min(MAX_RETRY_DELAY);
                 }
             }
         }
     }
 
-    /// Gives the cell up, so that another process takes it without waiting.
+    /// Releases the cell, so that another process can take over without waiting for a timeout.
     ///
     /// # Errors
     ///
@@ -84,7 +84,7 @@
         self.commit(&[]).await
     }
 
-    /// The row's new version, or `None` if another process owns the cell.
+    /// Returns the row's new version, or `None` if another process owns the cell.
     async fn try_commit(
         &mut self,
         next: &OwnerRecord,
@@ -99,7 +99,7 @@
             return Ok(Some(version));
         }
         let Some(row) = self.store.read(OWNER_KEY).await? else { return Ok(None) };
-        let found: OwnerRecord = row.parse()?;
-        Ok((found == *next).then_some(row.version))
+        let stored: OwnerRecord = row.parse()?;
+        Ok((stored == *next).then_some(row.version))
     }
 }
--- a/crates/teaseltrack-cell/src/owner/loader.rs
+++ b/crates/teaseltrack-cell/src/owner/loader.rs
@@ -1,4 +1,4 @@
-//! What an owner reads: everything when it begins, and the submissions that come after.
+//! Reads of an owner: the whole cell at startup, then new submissions and cancellations.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -14,39 +14,39 @@
 use tokio::{sync::mpsc, time::sleep};
 
 use crate::{
-    constants::{MAX_CHANGES_WAIT, RETRY_PAUSE},
+    constants::{MAX_CHANGES_WAIT, RETRY_DELAY},
     rows::{
-        JOB_PARTS, JOBS_TABLE, JobRowKey, PROGRESS_PREFIX, Submission, name_in, parse_job_key,
+        JOB_PARTS, JOBS_TABLE, JobRowKey, PROGRESS_PREFIX, Submission, key_name, parse_job_key,
         stored_job,
     },
 };
 
-/// Submissions and cancellations that became known.
+/// New submissions and cancellations.
 #[derive(Clone, Debug, Default)]
-pub struct JobNews {
+pub struct JobUpdate {
     /// Submitted jobs.
     pub jobs: Vec<StoredJob>,
     /// Cancelled jobs.
     pub cancelled: Vec<JobId>,
 }
 
-/// Everything that is stored, and the version to follow changes from.
+/// Stored state of a cell.
 #[derive(Clone, Debug)]
 pub struct LoadedCell {
-    /// The jobs.
+    /// All stored jobs.
     pub jobs: Vec<StoredJob>,
-    /// Version from which changes follow.
+    /// Version of the jobs table from which changes are followed.
     pub version: u64,
 }
 
-/// Loads the cell; goes on trying while the store doesn't answer.
+/// Loads the cell; retries until the store responds.
 pub async fn load(store: Store, wall_now: fn() -> SystemTime, logger: Logger) -> LoadedCell {
     loop {
         match try_load(&store, wall_now, &logger).await {
             Ok(loaded) => return loaded,
             Err(error) => {
-                warn!(logger, "cell can't be loaded"; "error" => %error);
-                sleep(RETRY_PAUSE).await;
+                warn!(logger, "failed to load the cell; retrying"; "error" => %error);
+                sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -60,51 +60,51 @@
     let (version, rows) = list_jobs(store).await?;
     let mut progress: HashMap<JobId, JobProgress> = HashMap::new();
     for row in store.list_all(PROGRESS_PREFIX).await? {
-        if let Some(known) = parse(&row, logger) {
-            progress.insert(name_in(&row.key).to_owned(), known);
+        if let Some(stored_progress) = parse_row(&row, logger) {
+            progress.insert(key_name(&row.key).to_owned(), stored_progress);
         }
     }
-    let JobRows { submissions, cancelled } = sort_rows(&rows, logger);
+    let JobRows { submissions, cancelled } = group_rows(&rows, logger);
     let now_ms = unix_ms(wall_now());
     let jobs = submissions
         .into_iter()
         .map(|(id, submission)| {
-            let known = progress.remove(&id);
+            let stored_progress = progress.remove(&id);
             let is_cancelled = cancelled.contains(&id);
-            stored_job(id, submission, known, is_cancelled, now_ms)
+            stored_job(id, submission, stored_progress, is_cancelled, now_ms)
         })
         .collect();
     Ok(LoadedCell { jobs, version })
 }
 
-/// Follows submissions and cancellations after a version and hands them on.
+/// Follows submissions and cancellations after a version and sends them to the owner.
 pub async fn follow_jobs(
     store: Store,
     mut after: u64,
-    sender: mpsc::Sender<JobNews>,
+    sender: mpsc::Sender<JobUpdate>,
     wall_now: fn() -> SystemTime,
     logger: Logger,
 ) {
     loop {
-        let news = match next_rows(&store, after).await {
+        let update = match next_rows(&store, after).await {
             Ok((version, rows)) => {
                 after = version;
-                sort_rows(&rows, &logger)
+                group_rows(&rows, &logger)
             }
             Err(error) => {
-                warn!(logger, "submissions can't be followed"; "error" => %error);
-                sleep(RETRY_PAUSE).await;
+                warn!(logger, "failed to follow submissions; retrying"; "error" => %error);
+                sleep(RETRY_DELAY).await;
                 continue;
             }
         };
         let now_ms = unix_ms(wall_now());
-        let jobs = news
+        let jobs = update
             .submissions
             .into_iter()
             .map(|(id, submission)| stored_job(id, submission, None, false, now_ms))
             .collect();
-        let news = JobNews { jobs, cancelled: news.cancelled.into_iter().collect() };
-        if sender.send(news).await.is_err() {
+        let update = JobUpdate { jobs, cancelled: update.cancelled.into_iter().collect() };
+        if sender.send(update).await.is_err() {
             return;
         }
     }
@@ -116,7 +116,7 @@
         return list_jobs(store).await;
     }
     if page.version <= after && page.changes.is_empty() {
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
     let rows = page
         .changes
@@ -143,16 +143,16 @@
     cancelled: HashSet<JobId>,
 }
 
-fn sort_rows(rows: &[Row], logger: &Logger) -> JobRows {
-    let mut sorted = JobRows { submissions: Vec::new(), cancelled: HashSet::new() };
+fn group_rows(rows: &[Row], logger: &Logger) -> JobRows {
+    let mut grouped = JobRows { submissions: Vec::new(), cancelled: HashSet::new() };
     for row in rows {
         match parse_job_key(&row.key) {
             JobRowKey::Cancellation(job) => {
-                sorted.cancelled.insert(job);
+                grouped.cancelled.insert(job);
             }
             JobRowKey::Submission(job) => {
-                if let Some(submission) = parse(row, logger) {
-                    sorted.submissions.push((job, submission));
+                if let Some(submission) = parse_row(row, logger) {
+                    grouped.submissions.push((job, submission));
                 }
             }
         }
@@ -160,14 +160,14 @@
     if rows.len() > 100 {
         info!(logger, "jobs listed"; "rows" => rows.len());
     }
-    sorted
+    grouped
 }
 
-fn parse<T: serde::de::DeserializeOwned>(row: &Row, logger: &Logger) -> Option<T> {
+fn parse_row<T: serde::de::DeserializeOwned>(row: &Row, logger: &Logger) -> Option<T> {
     match row.parse() {
         Ok(value) => Some(value),
         Err(error) => {
-            warn!(logger, "row can't be read and is left out"; "error" => %error);
+            warn!(logger, "invalid row skipped"; "error" => %error);
             None
         }
     }
--- a/crates/teaseltrack-cell/src/rows.rs
+++ b/crates/teaseltrack-cell/src/rows.rs
@@ -1,8 +1,9 @@
-//! What a cell keeps in the store.
+//! Rows of a cell in the store.
 //!
-//! A key is `table/part/name`; a transaction stays within one part. Submissions are spread over
-//! parts, since a part takes its transactions one after another. Everything that the owner writes
-//! is in one part, so that each of its commits can be conditional on the owner's row.
+//! A key has the form `table/part/name`; a transaction is limited to one part. Submissions are
+//! spread over several parts, since the store executes the transactions of a part one at a time.
+//! All rows that the owner writes are in one part, so that each commit can be conditional on the
+//! owner's row.
 
 use std::time::Duration;
 
@@ -15,73 +16,74 @@
 
 /// Table of submissions and cancellations.
 pub const JOBS_TABLE: &str = "jobs";
-/// Table that changes with each new owner only, for those who follow it.
+/// Table that changes only with each new owner, for processes that follow the owner.
 pub const OWNERS_TABLE: &str = "owners";
-/// The owner's row, rewritten with each commit.
+/// Key of the owner's row, which is rewritten with each commit.
 pub const OWNER_KEY: &str = "cell/0/owner";
-/// The row in [`OWNERS_TABLE`].
+/// Key of the row in [`OWNERS_TABLE`].
 pub const OWNER_NOTICE_KEY: &str = "owners/0/owner";
-/// Prefix of the owner's progress rows.
+/// Prefix of the jobs' progress rows.
 pub const PROGRESS_PREFIX: &str = "progress/0/";
-/// Parts of the submissions: twice the burst of submissions that a part's rate allows.
+/// Parts of [`JOBS_TABLE`]; enough for twice the burst of submissions at the rate that a part
+/// allows.
 pub const JOB_PARTS: [&str; 4] = ["0", "1", "2", "3"];
 
 const CANCEL_SUFFIX: &str = ".cancel";
 
-/// A submission as stored.
+/// Value of a submission's row.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// What was submitted.
+    /// Specification of the job.
     pub spec: JobSpec,
-    /// The queue as it was then.
+    /// Queue configuration at submission.
     pub queue: Queue,
 }
 
-/// What a row of [`JOBS_TABLE`] is about.
+/// Parsed key of a row of [`JOBS_TABLE`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobRowKey {
-    /// A submission.
+    /// Row of a submission.
     Submission(JobId),
-    /// A cancellation.
+    /// Row of a cancellation.
     Cancellation(JobId),
 }
 
-/// Part of a job's rows.
-pub fn part_of(job: &str) -> &'static str {
+/// Part that contains a job's rows in [`JOBS_TABLE`].
+pub fn job_part(job: &str) -> &'static str {
     let sum: usize = job.bytes().map(usize::from).sum();
     JOB_PARTS[sum % JOB_PARTS.len()]
 }
 
-/// Key of a submission.
+/// Key of a submission's row.
 pub fn submission_key(job: &str) -> String {
-    format!("{JOBS_TABLE}/{}/{job}", part_of(job))
+    format!("{JOBS_TABLE}/{}/{job}", job_part(job))
 }
 
-/// Key of a cancellation.
+/// Key of a cancellation's row.
 pub fn cancellation_key(job: &str) -> String {
     format!("{}{CANCEL_SUFFIX}", submission_key(job))
 }
 
-/// Key of a job's progress.
+/// Key of a job's progress row.
 pub fn progress_key(job: &str) -> String {
     format!("{PROGRESS_PREFIX}{job}")
 }
 
-/// Name in a key, behind its table and part.
-pub fn name_in(key: &str) -> &str {
+/// Name in a key, after the table and the part.
+pub fn key_name(key: &str) -> &str {
     key.splitn(3, '/').nth(2).unwrap_or_default()
 }
 
-/// Reads a key of [`JOBS_TABLE`].
+/// Parses a key of [`JOBS_TABLE`].
 pub fn parse_job_key(key: &str) -> JobRowKey {
-    let name = name_in(key);
+    let name = key_name(key);
     match name.strip_suffix(CANCEL_SUFFIX) {
         Some(job) => JobRowKey::Cancellation(job.to_owned()),
         None => JobRowKey::Submission(name.to_owned()),
     }
 }
 
-/// A job as the owner takes it in.
+/// Combines the rows of a job.
 pub fn stored_job(
     id: JobId,
     submission: Submission,
--- a/crates/teaseltrack-cell/src/worker_port.rs
+++ b/crates/teaseltrack-cell/src/worker_port.rs
@@ -1,4 +1,4 @@
-//! The port to the worker on the agent's own instance.
+//! Interface to the worker on the agent's instance.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,33 +9,33 @@
     ids::AttemptNumber,
 };
 
-/// Why a worker's answer is of no use.
+/// Failure of a call to the worker.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum WorkerError {
-    /// No answer in time; the call may still be carried out.
-    #[snafu(display("no answer: {message}"))]
+    /// No usable response in time; the call may or may not take effect.
+    #[snafu(display("worker unavailable: {message}"))]
     Unavailable {
         /// Cause.
         message: String,
     },
-    /// The worker did nothing, and won't.
-    #[snafu(display("refused: {reason}"))]
+    /// The worker rejected the call without executing it.
+    #[snafu(display("worker refused the call: {reason}"))]
     Refused {
-        /// Why.
+        /// Reason given by the worker.
         reason: String,
     },
 }
 
-/// A call to the worker.
+/// Call to the worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCall {
-    /// Extends the lease, forgets ends and lists what runs.
+    /// Renews the lease, acknowledges ends, and requests a listing of runs and ends.
     Sync {
         /// End of the lease on the worker's clock.
         lease_until_ms: Option<u64>,
-        /// Ends to forget, up to this number.
+        /// Number up to which the worker may discard ends.
         forget_until: u64,
-        /// How long the worker may wait for an end.
+        /// Maximum time for which the worker waits for the next end.
         wait: Duration,
     },
     /// Starts a task.
@@ -58,34 +58,35 @@
         task: TaskName,
         /// Its attempt.
         attempt: AttemptNumber,
-        /// Share of full speed, in percent.
+        /// Pace as a share of full speed, in percent.
         percent: u32,
     },
 }
 
-/// A call with whom it is meant for.
+/// Call with its intended worker and session.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedCall {
-    /// The worker; another refuses.
+    /// Identifier of the worker; any other worker refuses the call.
     pub worker: String,
-    /// Fencing token.
+    /// Fencing token of the agent's session.
     pub session: SessionToken,
     /// The call.
     pub call: WorkerCall,
 }
 
-/// A worker's answer.
+/// Response of the worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerResponse {
-    /// The worker's clock.
+    /// Reading of the worker's clock, in milliseconds.
     pub clock_ms: Option<u64>,
-    /// Start of its present life, where it says so.
+    /// Start of the worker's current incarnation, in milliseconds since the Unix epoch, if
+    /// included.
     pub started_unix_ms: Option<u64>,
-    /// What it runs, in answer to a hold.
+    /// Listing of runs and ends, in a response to a sync call.
     pub listing: Option<WorkerListing>,
 }
 
-/// Carries calls to the worker.
+/// Transport for calls to the worker.
 pub type WorkerAdapter = Arc<
     dyn Fn(AddressedCall) -> BoxFuture<'static, Result<WorkerResponse, WorkerError>> + Send + Sync,
 >;
--- a/crates/teaseltrack-cell/tests/agent.rs
+++ b/crates/teaseltrack-cell/tests/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's task beside a worker that crashes and comes back, while answers are on their way.
+//! Tests of the agent's task with a worker that restarts while responses are in flight.
 
 use std::{
     sync::{Arc, Mutex},
@@ -21,63 +21,59 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Far above what the agent needs to answer an event, so that a busy machine passes too.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Far longer than the agent needs to handle an event, so that the test passes on a loaded machine.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn status(born_unix_ms: u64) -> WorkerStatus {
-    WorkerStatus {
-        worker: "worker".to_owned(),
-        started_unix_ms: born_unix_ms,
-        ..WorkerStatus::default()
-    }
+fn status(started_unix_ms: u64) -> WorkerStatus {
+    WorkerStatus { worker: "worker".to_owned(), started_unix_ms, ..WorkerStatus::default() }
 }
 
-fn announced(born_unix_ms: u64) -> AgentEvent {
-    AgentEvent::Heartbeat(Heartbeat { status: status(born_unix_ms), clock_ms: Some(1_000) })
+fn heartbeat(started_unix_ms: u64) -> AgentEvent {
+    AgentEvent::Heartbeat(Heartbeat { status: status(started_unix_ms), clock_ms: Some(1_000) })
 }
 
-fn answered(born_unix_ms: u64, session: u64, forget_until: u64) -> AgentEvent {
-    let answer = ReportResponse { epoch: 1, session, forget_until, ..ReportResponse::default() };
+fn reported(started_unix_ms: u64, session: u64, forget_until: u64) -> AgentEvent {
+    let response = ReportResponse { epoch: 1, session, forget_until, ..ReportResponse::default() };
     AgentEvent::Reported {
-        life: status(born_unix_ms).incarnation(),
+        incarnation: status(started_unix_ms).incarnation(),
         is_poll: false,
         refused_count: 0,
-        answer: Some(Box::new(answer)),
+        response: Some(Box::new(response)),
     }
 }
 
-/// Holds that the worker gets, as session and the number up to which ends are forgotten.
-async fn next_hold(holds: &mut mpsc::UnboundedReceiver<(u64, u64)>, session: u64) -> u64 {
-    let hold = async {
+/// Waits for a sync call under a session; returns the number up to which ends may be discarded.
+async fn next_sync(syncs: &mut mpsc::UnboundedReceiver<(u64, u64)>, session: u64) -> u64 {
+    let sync = async {
         loop {
-            let (under, forget_until) = holds.recv().await.expect("the agent has ended");
-            if under == session {
+            let (call_session, forget_until) = syncs.recv().await.expect("agent task ended");
+            if call_session == session {
                 return forget_until;
             }
         }
     };
-    timeout(LIMIT, hold).await.expect("no hold under the session")
+    timeout(TIMEOUT, sync).await.expect("no sync call under the session")
 }
 
 #[tokio::test]
-async fn take_answer_about_an_earlier_life_forgets_no_ends_of_the_next() {
-    let (hold_sender, mut holds) = mpsc::unbounded_channel();
-    let born_unix_ms = Arc::new(Mutex::new(1));
-    let born = born_unix_ms.clone();
+async fn handle_report_response_about_earlier_incarnation_discards_no_ends_of_the_next() {
+    let (sync_sender, mut syncs) = mpsc::unbounded_channel();
+    let started_unix_ms = Arc::new(Mutex::new(1));
+    let worker_start = started_unix_ms.clone();
     let worker = Arc::new(move |call: AddressedCall| {
         if let WorkerCall::Sync { forget_until, .. } = call.call {
-            hold_sender.send((call.session, forget_until)).ok();
+            sync_sender.send((call.session, forget_until)).ok();
         }
-        let answer = WorkerResponse {
+        let response = WorkerResponse {
             clock_ms: Some(1_000),
-            started_unix_ms: Some(*born.lock().unwrap()),
+            started_unix_ms: Some(*worker_start.lock().unwrap()),
             listing: Some(WorkerListing::default()),
         };
-        let answering: futures::future::BoxFuture<'static, _> = Box::pin(async move {
+        let responding: futures::future::BoxFuture<'static, _> = Box::pin(async move {
             tokio::time::sleep(Duration::from_millis(20)).await;
-            Ok(answer)
+            Ok(response)
         });
-        answering
+        responding
     });
     let (events, inbox) = mpsc::channel(AGENT_MAILBOX_SIZE);
     let (_owner, known_owner) = watch::channel(KnownOwner::default());
@@ -96,15 +92,15 @@
     let closing = CancellationToken::new();
     tokio::spawn(run_agent(context, events.clone(), inbox, closing.clone()));
 
-    events.send(announced(1)).await.unwrap();
-    events.send(answered(1, 5, 2)).await.unwrap();
-    assert_eq!(next_hold(&mut holds, 5).await, 2);
+    events.send(heartbeat(1)).await.unwrap();
+    events.send(reported(1, 5, 2)).await.unwrap();
+    assert_eq!(next_sync(&mut syncs, 5).await, 2);
 
-    // The worker crashes and is born again; an answer to an earlier report comes only now.
-    *born_unix_ms.lock().unwrap() = 2;
-    events.send(announced(2)).await.unwrap();
-    events.send(answered(1, 5, 2)).await.unwrap();
-    events.send(answered(2, 6, 0)).await.unwrap();
-    assert_eq!(next_hold(&mut holds, 6).await, 0);
+    // The worker crashes and restarts; the response to an earlier report arrives only now.
+    *started_unix_ms.lock().unwrap() = 2;
+    events.send(heartbeat(2)).await.unwrap();
+    events.send(reported(1, 5, 2)).await.unwrap();
+    events.send(reported(2, 6, 0)).await.unwrap();
+    assert_eq!(next_sync(&mut syncs, 6).await, 0);
     closing.cancel();
 }
