--- a/crates/teaseltrack-agent/src/agent.rs
+++ b/crates/teaseltrack-agent/src/agent.rs
@@ -56,13 +56,13 @@
 /// Requests of one entry at once.
 const MAX_STREAMS: u32 = 8_192;
 /// Calls about tasks that may wait.
-const TASK_CALLS: usize = 1_024;
+const TASK_CALL_CHANNEL_CAPACITY: usize = 1_024;
 /// Time for which a stopping agent still refuses requests itself, so that entries hear of it.
 const REFUSAL_GRACE: Duration = Duration::from_secs(1);
 /// Time for running requests and tasks to end in a planned stop.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 /// Wait before the worker is asked again.
-const WORKER_RETRY: Duration = Duration::from_millis(300);
+const WORKER_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Addresses that an agent serves.
 #[derive(Clone, Copy, Debug)]
@@ -82,13 +82,13 @@
     common: Common,
     addresses: AgentAddresses,
     capacity: CapacityHandle,
-    tasks: Option<RunningTasks>,
+    tasks: Option<TaskHandles>,
     server: JoinHandle<()>,
     spans: Spans,
 }
 
 /// The parts of an agent that run tasks.
-struct RunningTasks {
+struct TaskHandles {
     attempts: mpsc::Sender<AttemptMessage>,
     shards: mpsc::Sender<ShardMessage>,
     release: oneshot::Sender<oneshot::Sender<()>>,
@@ -125,7 +125,7 @@
             incarnation,
         };
         let store = open_store(&settings.platform, clock.clone());
-        let (calls, calls_receiver) = mpsc::channel(TASK_CALLS);
+        let (calls, calls_receiver) = mpsc::channel(TASK_CALL_CHANNEL_CAPACITY);
         let common = start_common(
             identity,
             &settings.control,
@@ -171,7 +171,7 @@
         self.common.shutdown.draining.cancelled().await;
         let logger = self.common.logger.clone();
         info!(logger, "planned stop begins");
-        let requests = self.capacity.ask(CapacityMessage::Drain);
+        let requests = self.capacity.request(CapacityMessage::Drain);
         let tasks = drain_tasks(self.tasks, &logger);
         let (requests, ()) = tokio::join!(timeout(DRAIN_TIMEOUT, requests), tasks);
         if requests.is_err() {
@@ -246,11 +246,11 @@
     metrics: &Metrics,
     holder: u64,
     calls: mpsc::Receiver<teaseltrack_node::control_server::TaskCall>,
-) -> RunningTasks {
+) -> TaskHandles {
     let (view, lease) = watch::channel::<Option<LeaseView>>(None);
-    let (attempts, attempts_receiver) = mpsc::channel(attempts::INBOX_MESSAGES);
-    let (reports, reports_receiver) = mpsc::channel(reporter::INBOX_MESSAGES);
-    let (shards, shards_receiver) = mpsc::channel(shard_manager::INBOX_MESSAGES);
+    let (attempts, attempts_receiver) = mpsc::channel(attempts::CHANNEL_CAPACITY);
+    let (reports, reports_receiver) = mpsc::channel(reporter::CHANNEL_CAPACITY);
+    let (shards, shards_receiver) = mpsc::channel(shard_manager::CHANNEL_CAPACITY);
     let (status, status_receiver) = watch::channel(AttemptStatus::default());
     let (release, release_receiver) = oneshot::channel();
     let instance = settings.instance.name.clone();
@@ -264,10 +264,10 @@
         ttl: Duration::from_millis(tasks.lease_ttl_ms),
         view,
     };
-    let mut first_look = worker.clone();
+    let mut worker_query = worker.clone();
     tokio::spawn(async move {
-        let adopted = adopted_incarnation(&mut first_look).await;
-        keeper.run(adopted, release_receiver).await;
+        let adopted_incarnation = query_worker_incarnation(&mut worker_query).await;
+        keeper.run(adopted_incarnation, release_receiver).await;
     });
     let context = AttemptContext {
         logger: common.logger.clone(),
@@ -307,28 +307,28 @@
     let manager = ShardManager::new(common.logger.clone(), Arc::new(context));
     tokio::spawn(manager.run(shards_receiver));
     tokio::spawn(route_calls(calls, Some(attempts.clone()), shards.clone()));
-    RunningTasks { attempts, shards, release, status: status_receiver }
+    TaskHandles { attempts, shards, release, status: status_receiver }
 }
 
 /// The incarnation under which the worker runs already, once it answers.
-async fn adopted_incarnation(worker: &mut WorkerClient) -> Option<u64> {
+async fn query_worker_incarnation(worker: &mut WorkerClient) -> Option<u64> {
     loop {
         match worker.sync(None, None, 1.0, Vec::new()).await {
-            Ok(answer) => return answer.incarnation,
-            Err(_) => sleep(WORKER_RETRY).await,
+            Ok(response) => return response.incarnation,
+            Err(_) => sleep(WORKER_RETRY_DELAY).await,
         }
     }
 }
 
 /// Evicts all attempts, gives up the shards and releases the lease, in this order.
-async fn drain_tasks(tasks: Option<RunningTasks>, logger: &Logger) {
+async fn drain_tasks(tasks: Option<TaskHandles>, logger: &Logger) {
     let Some(tasks) = tasks else { return };
     let (reply, drained) = oneshot::channel();
     tasks.attempts.send(AttemptMessage::Drain(reply)).await.ok();
     let is_drained = matches!(timeout(DRAIN_TIMEOUT, drained).await, Ok(Ok(())));
-    let (reply, given_up) = oneshot::channel();
+    let (reply, shards_released) = oneshot::channel();
     tasks.shards.send(ShardMessage::Drain(reply)).await.ok();
-    drop(timeout(DRAIN_TIMEOUT, given_up).await);
+    drop(timeout(DRAIN_TIMEOUT, shards_released).await);
     if !is_drained {
         // The lease stays to lapse by itself, which is when others may take the work.
         warn!(logger, "tasks not handed over by the end of the planned stop");
@@ -344,7 +344,7 @@
     common: &Common,
     capacity: &CapacityHandle,
     target: &TargetClient,
-    tasks: Option<&RunningTasks>,
+    tasks: Option<&TaskHandles>,
 ) -> StatusReport {
     let (common, capacity, target) = (common.clone(), capacity.clone(), target.clone());
     let attempts = tasks.map(|tasks| tasks.status.clone());
--- a/crates/teaseltrack-agent/src/announce.rs
+++ b/crates/teaseltrack-agent/src/announce.rs
@@ -46,11 +46,14 @@
     capacity: CapacityHandle,
     closing: CancellationToken,
 ) {
-    let handler = move |request: Request<Incoming>| answer(capacity.clone(), request);
+    let handler = move |request: Request<Incoming>| handle_request(capacity.clone(), request);
     serve(listener, MAX_CONNECTIONS, closing, handler).await;
 }
 
-async fn answer(capacity: CapacityHandle, request: Request<Incoming>) -> Response<ResponseBody> {
+async fn handle_request(
+    capacity: CapacityHandle,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     let path = request.uri().path();
     if path != TARGET_PATH {
         let detail = format!("path: {path} doesn't exist");
@@ -59,7 +62,7 @@
     match *request.method() {
         Method::PUT => announce(capacity, request).await,
         Method::DELETE => {
-            capacity.ask(CapacityMessage::Withdraw).await;
+            capacity.request(CapacityMessage::Withdraw).await;
             json_response(200, &json!({ "drained": true }))
         }
         _ => Problem::new(ErrorKind::InvalidInput, "method: must be PUT or DELETE").into_response(),
@@ -77,6 +80,6 @@
         let detail = format!("{field}: must not be empty or 0");
         return Problem::new(ErrorKind::InvalidInput, detail).into_response();
     }
-    capacity.tell(CapacityMessage::Announce(announcement)).await;
+    capacity.send(CapacityMessage::Announce(announcement)).await;
     json_response(200, &json!({ "announced": true }))
 }
--- a/crates/teaseltrack-agent/src/requests/capacity.rs
+++ b/crates/teaseltrack-agent/src/requests/capacity.rs
@@ -30,9 +30,9 @@
 use crate::announce::TargetAnnouncement;
 
 /// Messages that may wait for the task.
-const INBOX_MESSAGES: usize = 4_096;
+const CHANNEL_CAPACITY: usize = 4_096;
 /// Time between looks for a lapsed announcement.
-const TICK: Duration = Duration::from_millis(200);
+const ANNOUNCEMENT_CHECK_PERIOD: Duration = Duration::from_millis(200);
 /// Advice on when to try again after a refusal that isn't the queue's.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
@@ -97,18 +97,18 @@
 
 impl CapacityHandle {
     /// Sends a message.
-    pub async fn tell(&self, message: CapacityMessage) {
+    pub async fn send(&self, message: CapacityMessage) {
         self.sender.send(message).await.ok();
     }
 
     /// Sends a message and waits for the reply; `None` when the task has ended.
-    pub async fn ask<T>(
+    pub async fn request<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> CapacityMessage,
     ) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.sender.send(message(reply)).await.ok()?;
-        answer.await.ok()
+        response.await.ok()
     }
 
     /// Counts as last published.
@@ -149,9 +149,9 @@
     admission: Admission,
     generation: u64,
     target: Option<AnnouncedTarget>,
-    waiting: HashMap<TicketKey, oneshot::Sender<Result<Permit, Refusal>>>,
-    drained: Vec<oneshot::Sender<()>>,
-    is_stopping: bool,
+    pending_replies: HashMap<TicketKey, oneshot::Sender<Result<Permit, Refusal>>>,
+    drain_waiters: Vec<oneshot::Sender<()>>,
+    is_shutting_down: bool,
     counts: CapacityStatus,
     status: watch::Sender<CapacityStatus>,
 }
@@ -172,7 +172,7 @@
 
 /// Starts the task.
 pub fn spawn_capacity(limits: CapacityLimits, context: CapacityContext) -> CapacityHandle {
-    let (sender, receiver) = mpsc::channel(INBOX_MESSAGES);
+    let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let (status, status_receiver) = watch::channel(CapacityStatus::default());
     let CapacityContext { logger, clock, metrics, node, clients } = context;
     let task = CapacityTask {
@@ -185,9 +185,9 @@
         admission: new_admission(&limits, limits.max_slots),
         generation: 0,
         target: None,
-        waiting: HashMap::new(),
-        drained: Vec::new(),
-        is_stopping: false,
+        pending_replies: HashMap::new(),
+        drain_waiters: Vec::new(),
+        is_shutting_down: false,
         counts: CapacityStatus::default(),
         status,
     };
@@ -202,7 +202,7 @@
 
 impl CapacityTask {
     async fn run(mut self, mut receiver: mpsc::Receiver<CapacityMessage>) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(ANNOUNCEMENT_CHECK_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -215,7 +215,7 @@
             }
             self.expire();
             self.dispatch();
-            self.settle();
+            self.finish_iteration();
         }
     }
 
@@ -229,12 +229,12 @@
             }
             CapacityMessage::Announce(announcement) => self.announce(announcement).await,
             CapacityMessage::Withdraw(reply) => {
-                self.drained.push(reply);
+                self.drain_waiters.push(reply);
                 self.withdraw("the target withdrew").await;
             }
             CapacityMessage::Drain(reply) => {
-                self.drained.push(reply);
-                self.is_stopping = true;
+                self.drain_waiters.push(reply);
+                self.is_shutting_down = true;
                 self.withdraw("the agent stops").await;
             }
         }
@@ -242,7 +242,7 @@
 
     fn offer(&mut self, offer: RequestOffer) {
         let refusal = |kind| Refusal { kind, retry_after: RETRY_AFTER };
-        if self.is_stopping {
+        if self.is_shutting_down {
             self.refuse(offer.reply, refusal(ErrorKind::Draining));
             return;
         }
@@ -256,7 +256,7 @@
         }
         match self.admission.offer(self.clock.now(), offer.meta) {
             AdmissionDecision::Queued(ticket) => {
-                self.waiting.insert(ticket, offer.reply);
+                self.pending_replies.insert(ticket, offer.reply);
             }
             AdmissionDecision::Refused(refusal) => self.refuse(offer.reply, refusal),
         }
@@ -275,9 +275,9 @@
         };
         while let Some(Dispatched { ticket, permit: key }) = self.admission.dispatch() {
             let permit = Permit { key, generation: self.generation, target };
-            let reply = self.waiting.remove(&ticket);
-            let is_taken = reply.is_some_and(|reply| reply.send(Ok(permit)).is_ok());
-            if is_taken {
+            let reply = self.pending_replies.remove(&ticket);
+            let is_accepted = reply.is_some_and(|reply| reply.send(Ok(permit)).is_ok());
+            if is_accepted {
                 self.counts.started += 1;
             } else {
                 self.admission.release(key, None);
@@ -289,7 +289,7 @@
     fn expire(&mut self) {
         let kind = ErrorKind::DeadlineExceeded;
         while let Some(ticket) = self.admission.expire(self.clock.now()) {
-            if let Some(reply) = self.waiting.remove(&ticket) {
+            if let Some(reply) = self.pending_replies.remove(&ticket) {
                 self.refuse(reply, Refusal { kind, retry_after: RETRY_AFTER });
             }
         }
@@ -297,7 +297,7 @@
 
     async fn announce(&mut self, announcement: TargetAnnouncement) {
         let renewed_at = Instant::now();
-        if self.is_stopping {
+        if self.is_shutting_down {
             return;
         }
         if let Some(target) = &mut self.target
@@ -313,15 +313,15 @@
             .is_some_and(|target| target.announcement.process == announcement.process);
         if !is_same_process {
             self.generation += 1;
-            self.refuse_waiting();
+            self.refuse_queued();
             self.admission = new_admission(&self.limits, announcement.slots);
         }
         info!(self.logger, "target announced"; "service" => &announcement.service,
             "slots" => announcement.slots, "generation" => self.generation);
-        let told =
+        let published =
             Announcement { service: announcement.service.clone(), slots: announcement.slots };
         self.target = Some(AnnouncedTarget { announcement, renewed_at, is_present: true });
-        self.tell_fleet(Some(told)).await;
+        self.publish_target(Some(published)).await;
     }
 
     async fn withdraw(&mut self, reason: &'static str) {
@@ -331,7 +331,7 @@
             target.is_present = false;
             info!(self.logger, "target left"; "reason" => reason);
         }
-        self.tell_fleet(None).await;
+        self.publish_target(None).await;
     }
 
     async fn check_announcement(&mut self) {
@@ -347,27 +347,27 @@
         self.publish();
     }
 
-    async fn tell_fleet(&self, target: Option<Announcement>) {
+    async fn publish_target(&self, target: Option<Announcement>) {
         self.node.tell(NodeMessage::Announce(target)).await;
         let (node, clients) = (self.node.clone(), self.clients.clone());
         tokio::spawn(async move { push_announcement(&node, &clients).await });
     }
 
-    fn refuse_waiting(&mut self) {
-        let waiting: Vec<_> = self.waiting.drain().collect();
-        for (ticket, reply) in waiting {
+    fn refuse_queued(&mut self) {
+        let pending_replies: Vec<_> = self.pending_replies.drain().collect();
+        for (ticket, reply) in pending_replies {
             self.admission.cancel(ticket);
             self.refuse(reply, Refusal { kind: ErrorKind::NoTarget, retry_after: RETRY_AFTER });
         }
     }
 
     /// Answers those who wait for the end of all requests.
-    fn settle(&mut self) {
+    fn finish_iteration(&mut self) {
         let in_flight = self.admission.in_flight();
         self.counts.max_in_flight = self.counts.max_in_flight.max(in_flight);
         self.publish();
         if in_flight == 0 && self.admission.queued() == 0 {
-            for reply in self.drained.drain(..) {
+            for reply in self.drain_waiters.drain(..) {
                 reply.send(()).ok();
             }
         }
@@ -378,7 +378,7 @@
             in_flight: self.admission.in_flight(),
             queued: self.admission.queued(),
             limit: self.admission.limit(),
-            is_draining: self.is_stopping
+            is_draining: self.is_shutting_down
                 || self.target.as_ref().is_none_or(|target| !target.is_present),
         };
         self.counts.latency_ratio = self.admission.latency_ratio();
--- a/crates/teaseltrack-agent/src/requests/forward.rs
+++ b/crates/teaseltrack-agent/src/requests/forward.rs
@@ -39,9 +39,9 @@
 };
 
 /// Frames of an answer that may wait for the entry.
-const ANSWER_FRAMES: usize = 16;
+const RESPONSE_CHANNEL_CAPACITY: usize = 16;
 /// Time after the deadline for which the rest of an answer is read before the connection is closed.
-const REST_TIMEOUT: Duration = Duration::from_secs(5);
+const BODY_DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 /// Advice on when to try again after the target couldn't be reached.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
@@ -72,7 +72,7 @@
     }
 }
 
-type Frames = mpsc::Sender<Result<AnswerFrame, Status>>;
+type FrameSender = mpsc::Sender<Result<AnswerFrame, Status>>;
 
 /// A request as it was received whole.
 struct ReceivedRequest {
@@ -103,8 +103,8 @@
         request: tonic::Request<Streaming<RequestFrame>>,
     ) -> Result<tonic::Response<Self::ForwardStream>, Status> {
         let received = self.receive(request.into_inner()).await?;
-        let (frames, receiver) = mpsc::channel(ANSWER_FRAMES);
-        tokio::spawn(self.clone().run(received, frames));
+        let (frames, receiver) = mpsc::channel(RESPONSE_CHANNEL_CAPACITY);
+        tokio::spawn(self.clone().handle(received, frames));
         Ok(tonic::Response::new(ReceiverStream::new(receiver)))
     }
 }
@@ -134,9 +134,9 @@
     }
 
     /// Runs a request to its end; the slot is held for as long as the target may work on it.
-    async fn run(self, received: ReceivedRequest, frames: Frames) {
+    async fn handle(self, received: ReceivedRequest, frames: FrameSender) {
         let request_id = received.head.request_id.clone();
-        let span = self.spans.start("agent.request", some_text(&received.head.traceparent));
+        let span = self.spans.start("agent.request", non_empty(&received.head.traceparent));
         span.set("request_id", request_id.clone());
         let permit = match self.admit(&received, &frames).await {
             Ok(permit) => permit,
@@ -147,21 +147,21 @@
         };
         let started_at = self.clock.now();
         let traceparent = span.traceparent().map(str::to_owned);
-        let is_answered = self.run_admitted(received, traceparent, &permit, &frames).await;
-        let latency = is_answered.then(|| self.clock.now().duration_since(started_at));
+        let is_complete = self.forward_admitted(received, traceparent, &permit, &frames).await;
+        let latency = is_complete.then(|| self.clock.now().duration_since(started_at));
         if let Some(latency) = latency {
             self.metrics.time("target_latency", latency);
         }
-        self.capacity.tell(CapacityMessage::Release(permit, latency)).await;
+        self.capacity.send(CapacityMessage::Release(permit, latency)).await;
     }
 
     /// Waits for a slot; a caller that goes away while waiting gives its place up.
     async fn admit(
         &self,
         received: &ReceivedRequest,
-        frames: &Frames,
+        frames: &FrameSender,
     ) -> Result<Permit, ForwardError> {
-        let (reply, mut answer) = oneshot::channel();
+        let (reply, mut admission) = oneshot::channel();
         let head = &received.head;
         let meta = RequestMeta {
             class: Class::from_urgency(head.urgency),
@@ -169,11 +169,11 @@
             deadline: received.deadline,
         };
         let offer = RequestOffer { service: head.service.clone(), meta, reply };
-        self.capacity.tell(CapacityMessage::Offer(offer)).await;
+        self.capacity.send(CapacityMessage::Offer(offer)).await;
         let admitted = tokio::select! {
-            admitted = &mut answer => admitted,
+            admitted = &mut admission => admitted,
             () = frames.closed() => {
-                self.give_back(answer).await;
+                self.release_unclaimed(admission).await;
                 return Err(ForwardError::new(ErrorKind::DeadlineExceeded, "the caller went away"));
             }
         };
@@ -187,20 +187,23 @@
     }
 
     /// Frees the slot of a request that was admitted while its caller went away.
-    async fn give_back(&self, mut answer: oneshot::Receiver<Result<Permit, AdmissionRefusal>>) {
-        answer.close();
-        if let Ok(Ok(permit)) = answer.try_recv() {
-            self.capacity.tell(CapacityMessage::Release(permit, None)).await;
+    async fn release_unclaimed(
+        &self,
+        mut admission: oneshot::Receiver<Result<Permit, AdmissionRefusal>>,
+    ) {
+        admission.close();
+        if let Ok(Ok(permit)) = admission.try_recv() {
+            self.capacity.send(CapacityMessage::Release(permit, None)).await;
         }
     }
 
     /// Forwards an admitted request; true if the target answered it whole.
-    async fn run_admitted(
+    async fn forward_admitted(
         &self,
         received: ReceivedRequest,
         traceparent: Option<String>,
         permit: &Permit,
-        frames: &Frames,
+        frames: &FrameSender,
     ) -> bool {
         let request_id = received.head.request_id.clone();
         let deadline = received.deadline.into();
@@ -226,14 +229,14 @@
             self.refuse(frames, &request_id, error).await;
             // The target may still be working: the slot is kept until it says that it isn't.
             if let Ok((late, _)) = sending.await {
-                read_rest(late.into_body()).await;
+                drain_body(late.into_body()).await;
             }
             return false;
         };
         match response {
             Ok((response, connection)) => {
-                let answer = Answer { request_id, response, deadline };
-                self.stream_answer(answer, connection, frames).await
+                let response = TargetResponse { request_id, response, deadline };
+                self.stream_response(response, connection, frames).await
             }
             Err(kind) => {
                 let error = ForwardError::new(kind, "the target closed the connection");
@@ -244,14 +247,14 @@
     }
 
     /// Streams the target's answer; true if it was whole.
-    async fn stream_answer(
+    async fn stream_response(
         &self,
-        answer: Answer,
+        target_response: TargetResponse,
         connection: TargetConnection,
-        frames: &Frames,
+        frames: &FrameSender,
     ) -> bool {
-        let Answer { request_id, response, deadline } = answer;
-        if let Err(error) = check_answer(&request_id, &response) {
+        let TargetResponse { request_id, response, deadline } = target_response;
+        if let Err(error) = validate_response(&request_id, &response) {
             self.refuse(frames, &request_id, error).await;
             return false;
         }
@@ -268,7 +271,7 @@
             let Ok(next) = timeout_at(deadline, body.frame()).await else {
                 let status = Status::deadline_exceeded("no whole answer by the deadline");
                 frames.send(Err(status)).await.ok();
-                read_rest(body).await;
+                drain_body(body).await;
                 return false;
             };
             let chunk = match next {
@@ -286,18 +289,18 @@
             // A caller that doesn't read holds the slot no longer than its deadline.
             let sending = send_frame(frames, answer_frame::Frame::Chunk(chunk));
             if timeout_at(deadline, sending).await.is_err() {
-                read_rest(body).await;
+                drain_body(body).await;
                 return false;
             }
         }
-        self.target.put_back(connection);
+        self.target.return_to_pool(connection);
         let load = Some(self.load());
         send_frame(frames, answer_frame::Frame::End(AnswerEnd { request_id, body_bytes, load }))
             .await;
         true
     }
 
-    async fn refuse(&self, frames: &Frames, request_id: &str, error: ForwardError) {
+    async fn refuse(&self, frames: &FrameSender, request_id: &str, error: ForwardError) {
         let refusal = Refusal {
             request_id: request_id.to_owned(),
             kind: error.kind.name().to_owned(),
@@ -320,14 +323,14 @@
 }
 
 /// The head of a target's answer.
-struct Answer {
+struct TargetResponse {
     request_id: String,
     response: Response<Incoming>,
     deadline: tokio::time::Instant,
 }
 
 /// Refuses an answer to another request, and one whose end can't be told from a cut.
-fn check_answer(request_id: &str, response: &Response<Incoming>) -> Result<(), ForwardError> {
+fn validate_response(request_id: &str, response: &Response<Incoming>) -> Result<(), ForwardError> {
     let echoed = response.headers().get(headers::REQUEST_ID);
     if echoed.is_some_and(|echoed| echoed.as_bytes() != request_id.as_bytes()) {
         let detail = "the target answered another request";
@@ -364,15 +367,15 @@
             map.append(name, value);
         }
     }
-    put_text(map, headers::REQUEST_ID, &head.request_id);
+    insert_header(map, headers::REQUEST_ID, &head.request_id);
     map.insert(headers::TIMEOUT_MS, HeaderValue::from(remaining.as_millis() as u64));
     if let Some(traceparent) = traceparent {
-        put_text(map, headers::TRACEPARENT, &traceparent);
+        insert_header(map, headers::TRACEPARENT, &traceparent);
     }
     Ok(request)
 }
 
-fn put_text(map: &mut HeaderMap, name: &'static str, value: &str) {
+fn insert_header(map: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         map.insert(name, value);
     }
@@ -393,18 +396,20 @@
         || name.as_str() == "keep-alive"
 }
 
-async fn send_frame(frames: &Frames, frame: answer_frame::Frame) {
+async fn send_frame(frames: &FrameSender, frame: answer_frame::Frame) {
     frames.send(Ok(AnswerFrame { frame: Some(frame) })).await.ok();
 }
 
 /// Reads what is left of an answer, so that the target may end; gives up after a while.
-async fn read_rest(mut body: Incoming) {
+async fn drain_body(mut body: Incoming) {
     drop(
-        timeout(REST_TIMEOUT, async { while body.frame().await.is_some_and(|f| f.is_ok()) {} })
-            .await,
+        timeout(BODY_DRAIN_TIMEOUT, async {
+            while body.frame().await.is_some_and(|f| f.is_ok()) {}
+        })
+        .await,
     );
 }
 
-fn some_text(text: &str) -> Option<&str> {
+fn non_empty(text: &str) -> Option<&str> {
     (!text.is_empty()).then_some(text)
 }
--- a/crates/teaseltrack-agent/src/requests/target_client.rs
+++ b/crates/teaseltrack-agent/src/requests/target_client.rs
@@ -59,8 +59,9 @@
     /// [`ErrorKind::Unreachable`]: nothing was sent.
     pub async fn connection(&self, address: SocketAddr) -> Result<TargetConnection, ErrorKind> {
         while let Some(mut connection) = self.take_idle() {
-            let is_good = connection.address == address && connection.sender.ready().await.is_ok();
-            if is_good {
+            let is_reusable =
+                connection.address == address && connection.sender.ready().await.is_ok();
+            if is_reusable {
                 return Ok(connection);
             }
         }
@@ -91,7 +92,7 @@
     }
 
     /// Takes back a connection whose answer was read to the end.
-    pub fn put_back(&self, connection: TargetConnection) {
+    pub fn return_to_pool(&self, connection: TargetConnection) {
         if !connection.sender.is_closed() {
             self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(connection);
         }
--- a/crates/teaseltrack-agent/src/tasks/attempts.rs
+++ b/crates/teaseltrack-agent/src/tasks/attempts.rs
@@ -40,13 +40,13 @@
 };
 
 /// Messages that may wait for the task.
-pub const INBOX_MESSAGES: usize = 1_024;
+pub const CHANNEL_CAPACITY: usize = 1_024;
 /// Time between looks at the worker.
 const SYNC_PERIOD: Duration = Duration::from_millis(100);
 /// Time for which room is held before its start comes.
-const RESERVATION: Duration = Duration::from_secs(10);
+const RESERVATION_TTL: Duration = Duration::from_secs(10);
 /// Time for which an accepted attempt is remembered after its end.
-const ACCEPTED_MEMORY: Duration = Duration::from_secs(3_600);
+const ACCEPTED_TTL: Duration = Duration::from_secs(3_600);
 
 /// A message to the task.
 #[derive(Debug)]
@@ -75,7 +75,7 @@
     /// Attempts evicted so far.
     pub evicted: u64,
     /// Room that is left.
-    pub room: Resources,
+    pub available: Resources,
     /// Share of its full speed at which batch work runs.
     pub share: f64,
 }
@@ -108,18 +108,18 @@
 pub struct Attempts {
     context: AttemptContext,
     ledger: ReservationLedger,
-    incarnation: Option<Incarnation>,
+    synced_incarnation: Option<Incarnation>,
     running: BTreeSet<AttemptKey>,
     reported_started: BTreeSet<AttemptKey>,
     ended: BTreeSet<AttemptKey>,
     stopping: BTreeMap<AttemptKey, StopCause>,
     /// Stopped attempts whose checkpoint is on its way to the store.
-    storing: BTreeSet<AttemptKey>,
+    uploading: BTreeSet<AttemptKey>,
     accepted: BTreeMap<TaskId, (AttemptNumber, Instant)>,
     forget: Vec<AttemptKey>,
     throttle: Throttle,
     is_draining: bool,
-    drained: Option<oneshot::Sender<()>>,
+    drain_reply: Option<oneshot::Sender<()>>,
     status: AttemptStatus,
 }
 
@@ -129,17 +129,17 @@
         Self {
             ledger: ReservationLedger::new(context.capacity),
             context,
-            incarnation: None,
+            synced_incarnation: None,
             running: BTreeSet::new(),
             reported_started: BTreeSet::new(),
             ended: BTreeSet::new(),
             stopping: BTreeMap::new(),
-            storing: BTreeSet::new(),
+            uploading: BTreeSet::new(),
             accepted: BTreeMap::new(),
             forget: Vec::new(),
             throttle: Throttle::default(),
             is_draining: false,
-            drained: None,
+            drain_reply: None,
             status: AttemptStatus::default(),
         }
     }
@@ -156,7 +156,7 @@
                 },
                 _ = ticks.tick() => self.sync().await,
             }
-            self.settle();
+            self.finish_iteration();
         }
     }
 
@@ -180,13 +180,13 @@
                 }
             }
             AttemptMessage::Checkpointed(key, checkpoint, reason) => {
-                self.storing.remove(&key);
+                self.uploading.remove(&key);
                 self.status.evicted += 1;
                 self.end(&key, AttemptEvent::Evicted { checkpoint, reason }).await;
             }
             AttemptMessage::Drain(reply) => {
                 self.is_draining = true;
-                self.drained = Some(reply);
+                self.drain_reply = Some(reply);
                 for key in self.running.clone() {
                     self.stop(key, StopCause::Evict).await;
                 }
@@ -214,7 +214,7 @@
                     &request.task,
                     request.attempt,
                     request.resources,
-                    now + RESERVATION,
+                    now + RESERVATION_TTL,
                 );
             granted.push(is_granted);
         }
@@ -228,24 +228,24 @@
 
     /// The incarnation whose attempts are all known here; an agent that has just started, or whose
     /// lease has just changed, doesn't know yet what its worker runs and can tell nothing of attempts.
-    fn known_incarnation(&self) -> Result<Incarnation, ErrorKind> {
+    fn require_synced(&self) -> Result<Incarnation, ErrorKind> {
         let held = self.lease().map(|lease| lease.incarnation);
-        self.incarnation.filter(|known| held == Some(*known)).ok_or(ErrorKind::Draining)
+        self.synced_incarnation.filter(|synced| held == Some(*synced)).ok_or(ErrorKind::Draining)
     }
 
     async fn start_all(&mut self, orders: Vec<StartOrder>) -> Result<(), ErrorKind> {
-        let known = self.known_incarnation()?;
-        if orders.iter().any(|order| order.incarnation > known) {
+        let synced = self.require_synced()?;
+        if orders.iter().any(|order| order.incarnation > synced) {
             return Err(ErrorKind::Draining);
         }
         for order in orders {
-            self.start(order, known).await;
+            self.start(order, synced).await;
         }
         Ok(())
     }
 
     async fn stop_all(&mut self, orders: Vec<StopOrder>) -> Result<(), ErrorKind> {
-        self.known_incarnation()?;
+        self.require_synced()?;
         for StopOrder { task, attempt, cause } in orders {
             self.stop(AttemptKey { task, attempt }, cause).await;
         }
@@ -253,7 +253,7 @@
     }
 
     /// Starts a committed attempt once, or reports why it won't ever start here.
-    async fn start(&mut self, order: StartOrder, known: Incarnation) {
+    async fn start(&mut self, order: StartOrder, synced: Incarnation) {
         let StartOrder { task, attempt, incarnation, spec, checkpoint } = order;
         let now = self.context.clock.now();
         let key = AttemptKey { task, attempt };
@@ -261,14 +261,14 @@
             return;
         }
         self.accepted.insert(key.task.clone(), (attempt, now));
-        if incarnation < known || self.is_draining {
+        if incarnation < synced || self.is_draining {
             self.release(&key, "the lease changed or the agent stops").await;
             return;
         }
         let resources = Resources::declared(&spec);
-        let has_room = self.ledger.reserve(&key.task, attempt, resources, now + RESERVATION)
+        let is_reserved = self.ledger.reserve(&key.task, attempt, resources, now + RESERVATION_TTL)
             && self.ledger.confirm(&key.task, attempt);
-        if !has_room {
+        if !is_reserved {
             self.release(&key, "no room").await;
             return;
         }
@@ -321,16 +321,16 @@
     /// Stops an attempt on the worker; tried again with the next look at it if there is no answer.
     async fn try_stop(&mut self, key: AttemptKey, cause: StopCause) {
         let is_checkpointed = cause == StopCause::Evict;
-        let Ok(answer) = self.context.worker.stop(key.clone(), is_checkpointed).await else {
+        let Ok(response) = self.context.worker.stop(key.clone(), is_checkpointed).await else {
             return;
         };
         self.stopping.remove(&key);
-        if matches!(answer.state, WorkerAttemptState::Done | WorkerAttemptState::Failed(_)) {
+        if matches!(response.state, WorkerAttemptState::Done | WorkerAttemptState::Failed(_)) {
             return;
         }
         self.running.remove(&key);
         self.ledger.release(&key.task, key.attempt);
-        match (cause, answer.checkpoint) {
+        match (cause, response.checkpoint) {
             (StopCause::Evict, Some(content)) => self.store_checkpoint(key, content),
             (StopCause::Evict, None) => self.release(&key, "stopped without a checkpoint").await,
             (StopCause::Cancel, _) => self.forget.push(key),
@@ -339,7 +339,7 @@
 
     /// Stores a checkpoint, however long the store is down; the worker keeps it until then.
     fn store_checkpoint(&mut self, key: AttemptKey, content: String) {
-        self.storing.insert(key.clone());
+        self.uploading.insert(key.clone());
         let store = self.context.store.clone();
         let sender = self.context.sender.clone();
         let object = keys::checkpoint(&key.task.job, key.task.index, key.attempt);
@@ -355,8 +355,8 @@
     async fn sync(&mut self) {
         let lease = self.lease();
         let incarnation = lease.map(|lease| lease.incarnation);
-        if self.incarnation.is_some() && incarnation != self.incarnation {
-            self.drop_all();
+        if self.synced_incarnation.is_some() && incarnation != self.synced_incarnation {
+            self.discard_attempts();
         }
         let deadline = lease.map(|lease| lease.deadline);
         if let Some(share) = self.throttle.record(self.context.requests.status().latency_ratio) {
@@ -364,11 +364,11 @@
         }
         let forget = std::mem::take(&mut self.forget);
         let share = self.throttle.share();
-        let answer = self.context.worker.sync(incarnation, deadline, share, forget.clone()).await;
-        match answer {
-            Ok(answer) => {
-                self.incarnation = incarnation;
-                self.take_in(answer).await;
+        let response = self.context.worker.sync(incarnation, deadline, share, forget.clone()).await;
+        match response {
+            Ok(response) => {
+                self.synced_incarnation = incarnation;
+                self.process_sync(response).await;
             }
             Err(error) => {
                 debug!(self.context.logger, "worker unanswered"; "error" => %error);
@@ -379,7 +379,7 @@
     }
 
     /// Forgets everything of an incarnation that is over; the worker drops it with the next sync.
-    fn drop_all(&mut self) {
+    fn discard_attempts(&mut self) {
         if !self.running.is_empty() {
             warn!(self.context.logger, "lease changed, attempts dropped";
                 "count" => self.running.len());
@@ -388,22 +388,22 @@
             self.ledger.release(&key.task, key.attempt);
         }
         self.stopping.clear();
-        self.storing.clear();
+        self.uploading.clear();
         self.ended.clear();
         self.reported_started.clear();
     }
 
-    async fn take_in(&mut self, answer: SyncResponse) {
-        let is_current = answer.incarnation == self.incarnation;
+    async fn process_sync(&mut self, response: SyncResponse) {
+        let is_current = response.incarnation == self.synced_incarnation;
         if !is_current {
             return;
         }
-        let mut seen = BTreeSet::new();
-        for attempt in answer.attempts {
-            seen.insert(attempt.key.clone());
-            self.take_in_attempt(attempt).await;
+        let mut listed = BTreeSet::new();
+        for attempt in response.attempts {
+            listed.insert(attempt.key.clone());
+            self.process_attempt(attempt).await;
         }
-        let missing: Vec<AttemptKey> = self.running.difference(&seen).cloned().collect();
+        let missing: Vec<AttemptKey> = self.running.difference(&listed).cloned().collect();
         // A start may still be on its way: the worker is told to stop it, which it remembers.
         for key in missing {
             self.stopping.entry(key).or_insert(StopCause::Evict);
@@ -413,7 +413,7 @@
         }
     }
 
-    async fn take_in_attempt(&mut self, attempt: WorkerAttempt) {
+    async fn process_attempt(&mut self, attempt: WorkerAttempt) {
         let WorkerAttempt { key, state, resources, .. } = attempt;
         if self.ended.contains(&key) || self.forget.contains(&key) {
             return;
@@ -440,16 +440,18 @@
         }
         let now = self.context.clock.now();
         self.accepted.insert(key.task.clone(), (key.attempt, now));
-        let is_held = self.ledger.reserve(&key.task, key.attempt, resources, now + RESERVATION)
-            && self.ledger.confirm(&key.task, key.attempt);
-        if !is_held {
+        let is_reserved =
+            self.ledger.reserve(&key.task, key.attempt, resources, now + RESERVATION_TTL)
+                && self.ledger.confirm(&key.task, key.attempt);
+        if !is_reserved {
             warn!(self.context.logger, "adopted attempt doesn't fit"; "task" => %key.task);
         }
     }
 
     /// An attempt that an earlier agent process stopped, or whose checkpoint is being stored.
     async fn adopt_stopped(&mut self, key: AttemptKey) {
-        let is_known = self.accepted.get(&key.task).is_some_and(|(known, _)| *known >= key.attempt);
+        let is_known =
+            self.accepted.get(&key.task).is_some_and(|(accepted, _)| *accepted >= key.attempt);
         if is_known {
             return;
         }
@@ -476,8 +478,8 @@
             shard: shard_of(&task.job),
             report: AttemptReport { task, attempt, event },
             capacity: self.ledger.capacity(),
-            room: self.ledger.available(),
-            incarnation: self.incarnation.unwrap_or(0),
+            available: self.ledger.available(),
+            incarnation: self.synced_incarnation.unwrap_or(0),
         };
         self.context.reports.send(message).await.ok();
     }
@@ -488,18 +490,18 @@
         let running = &self.running;
         self.accepted.retain(|task, (attempt, at)| {
             let key = AttemptKey { task: task.clone(), attempt: *attempt };
-            running.contains(&key) || now.saturating_duration_since(*at) < ACCEPTED_MEMORY
+            running.contains(&key) || now.saturating_duration_since(*at) < ACCEPTED_TTL
         });
     }
 
-    fn settle(&mut self) {
+    fn finish_iteration(&mut self) {
         self.status.running = self.running.len() as u64;
-        self.status.room = self.ledger.available();
+        self.status.available = self.ledger.available();
         self.status.share = self.throttle.share();
         self.context.status.send_replace(self.status.clone());
         let is_drained =
-            self.running.is_empty() && self.storing.is_empty() && self.ended.is_empty();
-        if is_drained && let Some(reply) = self.drained.take() {
+            self.running.is_empty() && self.uploading.is_empty() && self.ended.is_empty();
+        if is_drained && let Some(reply) = self.drain_reply.take() {
             reply.send(()).ok();
         }
     }
--- a/crates/teaseltrack-agent/src/tasks/lease_keeper.rs
+++ b/crates/teaseltrack-agent/src/tasks/lease_keeper.rs
@@ -31,7 +31,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Least share of the renewal period between two renewals.
-const MIN_PERIOD_SHARE: f64 = 0.8;
+const MIN_RENEWAL_PERIOD_FRACTION: f64 = 0.8;
 
 /// The lease as the instance's other tasks see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
 }
 
 /// A row that was written, with its version.
-struct Written {
+struct WrittenLease {
     row: LeaseRow,
     version: u64,
     lease: HeldLease,
@@ -72,17 +72,17 @@
     /// runs already. Ends early when a newer process holds the instance.
     pub async fn run(
         self,
-        adopted: Option<Incarnation>,
+        adopted_incarnation: Option<Incarnation>,
         mut release: oneshot::Receiver<oneshot::Sender<()>>,
     ) {
-        let Some(mut held) = self.acquire(adopted).await else { return };
+        let Some(mut held) = self.acquire(adopted_incarnation).await else { return };
         // Instances that start together don't renew together.
-        let mut least_share = 0.0;
+        let mut min_fraction = 0.0;
         loop {
             self.publish(&held);
-            let share = rand::rng().random_range(least_share..1.0);
-            least_share = MIN_PERIOD_SHARE;
-            let period = held.lease.renewal_period().mul_f64(share);
+            let fraction = rand::rng().random_range(min_fraction..1.0);
+            min_fraction = MIN_RENEWAL_PERIOD_FRACTION;
+            let period = held.lease.renewal_period().mul_f64(fraction);
             tokio::select! {
                 () = sleep(period) => {}
                 reply = &mut release => {
@@ -98,26 +98,26 @@
         }
     }
 
-    fn publish(&self, held: &Written) {
+    fn publish(&self, held: &WrittenLease) {
         let (incarnation, deadline) = (held.row.incarnation, held.lease.deadline());
         self.view.send_replace(Some(LeaseView { incarnation, deadline }));
     }
 
     /// Writes the row for this process; `None` if a newer process holds the instance.
-    async fn acquire(&self, adopted: Option<Incarnation>) -> Option<Written> {
+    async fn acquire(&self, adopted_incarnation: Option<Incarnation>) -> Option<WrittenLease> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
-            match self.try_acquire(adopted).await {
-                Ok(Acquired::Held(written)) => {
+            match self.try_acquire(adopted_incarnation).await {
+                Ok(AcquireOutcome::Held(written)) => {
                     info!(self.logger, "lease held"; "incarnation" => written.row.incarnation);
                     return Some(written);
                 }
-                Ok(Acquired::Superseded) => {
+                Ok(AcquireOutcome::Superseded) => {
                     warn!(self.logger, "a newer process holds the instance");
                     self.view.send_replace(None);
                     return None;
                 }
-                Ok(Acquired::Contended) => {}
+                Ok(AcquireOutcome::Contended) => {}
                 Err(error) => warn!(self.logger, "lease not written"; "error" => %error),
             }
             let wait = backoff.after_failure(&mut rand::rng());
@@ -125,34 +125,40 @@
         }
     }
 
-    async fn try_acquire(&self, adopted: Option<Incarnation>) -> Result<Acquired, StoreError> {
-        let found = self.store.read(&keys::lease(&self.instance)).await?;
-        let version = found.as_ref().map_or(0, |row| row.version);
-        let found: Option<LeaseRow> = found.as_ref().map(Row::parse).transpose()?;
-        if found.as_ref().is_some_and(|row| row.holder > self.holder) {
-            return Ok(Acquired::Superseded);
+    async fn try_acquire(
+        &self,
+        adopted_incarnation: Option<Incarnation>,
+    ) -> Result<AcquireOutcome, StoreError> {
+        let stored = self.store.read(&keys::lease(&self.instance)).await?;
+        let version = stored.as_ref().map_or(0, |row| row.version);
+        let stored: Option<LeaseRow> = stored.as_ref().map(Row::parse).transpose()?;
+        if stored.as_ref().is_some_and(|row| row.holder > self.holder) {
+            return Ok(AcquireOutcome::Superseded);
         }
-        let incarnation = match &found {
-            Some(row) if row.state == LeaseState::Held && adopted == Some(row.incarnation) => {
+        let incarnation = match &stored {
+            Some(row)
+                if row.state == LeaseState::Held
+                    && adopted_incarnation == Some(row.incarnation) =>
+            {
                 row.incarnation
             }
             Some(row) => row.incarnation + 1,
-            None => adopted.unwrap_or(0) + 1,
+            None => adopted_incarnation.unwrap_or(0) + 1,
         };
         let row = self.row(incarnation, LeaseState::Held);
         let sent_at = self.clock.now();
         match self.write(&row, version).await? {
-            CommitOutcome::Committed { version } => Ok(Acquired::Held(Written {
+            CommitOutcome::Committed { version } => Ok(AcquireOutcome::Held(WrittenLease {
                 row,
                 version,
                 lease: HeldLease::new(self.ttl, sent_at),
             })),
-            CommitOutcome::Conflict { .. } => Ok(Acquired::Contended),
+            CommitOutcome::Conflict { .. } => Ok(AcquireOutcome::Contended),
         }
     }
 
     /// Renews until the store answers; `None` if a newer process holds the instance.
-    async fn renew(&self, mut held: Written) -> Option<Written> {
+    async fn renew(&self, mut held: WrittenLease) -> Option<WrittenLease> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         let row = self.row(held.row.incarnation, LeaseState::Held);
         loop {
@@ -160,7 +166,7 @@
             match self.write(&row, held.version).await {
                 Ok(CommitOutcome::Committed { version }) => {
                     held.lease.renew(sent_at);
-                    return Some(Written { row, version, lease: held.lease });
+                    return Some(WrittenLease { row, version, lease: held.lease });
                 }
                 Ok(CommitOutcome::Conflict { .. }) => break,
                 Err(error) => warn!(self.logger, "lease not renewed"; "error" => %error),
@@ -170,28 +176,29 @@
         }
         // The row changed: by an earlier try of this renewal whose answer was lost, by a taker, or by
         // a newer process. Acquiring anew tells which.
-        let adopted = self.adoptable(&row).await;
-        if adopted.is_none() {
+        let adopted_incarnation = self.own_incarnation(&row).await;
+        if adopted_incarnation.is_none() {
             warn!(self.logger, "lease lost"; "incarnation" => row.incarnation);
         }
-        self.acquire(adopted).await
+        self.acquire(adopted_incarnation).await
     }
 
     /// The incarnation, if the row is still this process's own.
-    async fn adoptable(&self, row: &LeaseRow) -> Option<Incarnation> {
+    async fn own_incarnation(&self, row: &LeaseRow) -> Option<Incarnation> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
-            if let Ok(found) = self.store.read(&keys::lease(&self.instance)).await {
-                let found: LeaseRow = found?.parse().ok()?;
-                let is_own = found.holder == self.holder && found.state == LeaseState::Held;
-                return (is_own && found.incarnation == row.incarnation).then_some(row.incarnation);
+            if let Ok(stored) = self.store.read(&keys::lease(&self.instance)).await {
+                let stored: LeaseRow = stored?.parse().ok()?;
+                let is_own = stored.holder == self.holder && stored.state == LeaseState::Held;
+                return (is_own && stored.incarnation == row.incarnation)
+                    .then_some(row.incarnation);
             }
             let wait = backoff.after_failure(&mut rand::rng());
             sleep(wait).await;
         }
     }
 
-    async fn release(&self, held: Written) {
+    async fn release(&self, held: WrittenLease) {
         let row = self.row(held.row.incarnation, LeaseState::Released);
         if let Err(error) = self.write(&row, held.version).await {
             warn!(self.logger, "lease not released"; "error" => %error);
@@ -221,8 +228,8 @@
     }
 }
 
-enum Acquired {
-    Held(Written),
+enum AcquireOutcome {
+    Held(WrittenLease),
     Superseded,
     Contended,
 }
--- a/crates/teaseltrack-agent/src/tasks/owner.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner.rs
@@ -7,7 +7,7 @@
 
 mod leases;
 mod orders;
-mod places;
+mod placement;
 
 use std::{
     collections::BTreeMap,
@@ -45,23 +45,23 @@
 use crate::tasks::{owner::orders::Orders, placer::Placer};
 
 /// Time between rounds without a message.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_PERIOD: Duration = Duration::from_millis(250);
 /// Ticks between looks at the inbox without a wake-up.
 const INBOX_TICKS: u32 = 4;
 /// Ticks between looks around for room and at suspicious leases.
-const LOOK_AROUND_TICKS: u32 = 4;
+const MAINTENANCE_TICKS: u32 = 4;
 /// Ticks between looks at the shard's head.
-const HEAD_TICKS: u32 = 20;
+const HEAD_CHECK_TICKS: u32 = 20;
 /// Ticks between repetitions of all starts whose end isn't known.
-const REPEAT_TICKS: u32 = 40;
+const RESEND_TICKS: u32 = 40;
 /// Messages taken into one round.
-const ROUND_MESSAGES: usize = 512;
+const MAX_ROUND_MESSAGES: usize = 512;
 /// Attempts of a task that may fail before it is given up.
 const MAX_FAILURES: u32 = 3;
 /// Time for the store to take the shard back in a planned stop.
-const GIVE_UP_TIMEOUT: Duration = Duration::from_secs(2);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Wait before a shard is read again when the store doesn't answer.
-const LOAD_RETRY: Duration = Duration::from_millis(500);
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// What all owners of an agent share.
 pub struct OwnerContext {
@@ -89,7 +89,7 @@
     /// An agent reports events; answered after they are committed.
     Report(ReportBatch, oneshot::Sender<Result<(), ErrorKind>>),
     /// The agent stops.
-    GiveUp,
+    Release,
 }
 
 /// What an owner's task begins with.
@@ -110,7 +110,7 @@
     writes: Vec<Write>,
     stops: BTreeMap<InstanceId, Vec<StopOrder>>,
     replies: Vec<oneshot::Sender<Result<(), ErrorKind>>>,
-    is_giving_up: bool,
+    is_releasing: bool,
     /// Whether the round began with a tick, not with a message.
     is_tick: bool,
 }
@@ -129,7 +129,7 @@
     is_inbox_due: bool,
     tick: u32,
     /// Ends the sending of orders when the shard is lost.
-    orders: CancellationToken,
+    orders_cancellation: CancellationToken,
     /// Cancels `orders` with the shard.
     _orders_guard: DropGuard,
 }
@@ -138,18 +138,18 @@
 pub async fn run_owner(task: ShardOwnerTask) {
     let ShardOwnerTask { shard, context, mut receiver } = task;
     let logger = context.logger.clone();
-    let Some(mut owned) = OwnedShard::take(shard, context).await else {
+    let Some(mut owned) = OwnedShard::acquire(shard, context).await else {
         info!(logger, "shard taken by another"; "shard" => shard);
         return;
     };
-    owned.repeat_starts();
-    let mut ticks = interval(TICK);
+    owned.resend_starts();
+    let mut ticks = interval(TICK_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let mut round = Round::default();
         tokio::select! {
             message = receiver.recv() => match message {
-                Some(message) => owned.take_in(message, &mut round),
+                Some(message) => owned.handle_message(message, &mut round),
                 None => return,
             },
             _ = ticks.tick() => {
@@ -157,17 +157,17 @@
                 round.is_tick = true;
             }
         }
-        for _ in 0..ROUND_MESSAGES {
+        for _ in 0..MAX_ROUND_MESSAGES {
             let Ok(message) = receiver.try_recv() else { break };
-            owned.take_in(message, &mut round);
+            owned.handle_message(message, &mut round);
         }
-        let is_giving_up = round.is_giving_up;
+        let is_releasing = round.is_releasing;
         if owned.run_round(round).await.is_err() {
             warn!(logger, "shard lost"; "shard" => shard);
             return;
         }
-        if is_giving_up {
-            owned.give_up().await;
+        if is_releasing {
+            owned.release().await;
             return;
         }
     }
@@ -175,12 +175,12 @@
 
 impl OwnedShard {
     /// Writes this agent into the shard's head and reads the state; `None` if another was faster.
-    async fn take(shard: ShardNumber, context: Arc<OwnerContext>) -> Option<Self> {
+    async fn acquire(shard: ShardNumber, context: Arc<OwnerContext>) -> Option<Self> {
         let name = stream_of(shard);
         let mut stream = loop {
             match Stream::open(&context.store, &name).await {
                 Ok(stream) => break stream,
-                Err(_) => sleep(LOAD_RETRY).await,
+                Err(_) => sleep(LOAD_RETRY_DELAY).await,
             }
         };
         let owner = Some(context.owner.clone());
@@ -202,13 +202,13 @@
                 Ok(loaded) => break loaded,
                 Err(error) => {
                     warn!(context.logger, "shard not read"; "shard" => shard, "error" => %error);
-                    sleep(LOAD_RETRY).await;
+                    sleep(LOAD_RETRY_DELAY).await;
                 }
             }
         };
         info!(context.logger, "shard owned"; "shard" => shard, "epoch" => stream.head().epoch,
             "jobs" => loaded.state.jobs().len(), "entries" => loaded.sequence);
-        let orders = CancellationToken::new();
+        let orders_cancellation = CancellationToken::new();
         let placer = Placer::new(context.node.clone(), context.clients.clone());
         Some(Self {
             shard,
@@ -221,32 +221,32 @@
             preempted_at: None,
             is_inbox_due: true,
             tick: 0,
-            _orders_guard: orders.clone().drop_guard(),
-            orders,
+            _orders_guard: orders_cancellation.clone().drop_guard(),
+            orders_cancellation,
         })
     }
 
-    fn take_in(&mut self, message: OwnerMessage, round: &mut Round) {
+    fn handle_message(&mut self, message: OwnerMessage, round: &mut Round) {
         match message {
             OwnerMessage::Wake => self.is_inbox_due = true,
             OwnerMessage::Report(batch, reply) => {
                 let ReportBatch { instance, incarnation, capacity, available, reports, .. } = batch;
-                self.placer.report(&instance, incarnation, capacity, available);
+                self.placer.record_report(&instance, incarnation, capacity, available);
                 for report in reports {
-                    self.take_in_report(&instance, report, round);
+                    self.handle_report(&instance, report, round);
                 }
                 round.replies.push(reply);
             }
-            OwnerMessage::GiveUp => round.is_giving_up = true,
+            OwnerMessage::Release => round.is_releasing = true,
         }
     }
 
     /// Turns a report into a decision; one about another attempt than the current changes nothing.
-    fn take_in_report(&mut self, instance: &str, report: AttemptReport, round: &mut Round) {
+    fn handle_report(&mut self, instance: &str, report: AttemptReport, round: &mut Round) {
         let AttemptReport { task, attempt, event } = report;
-        let is_current = self.state.task(&task).is_some_and(|held| {
-            held.attempt == attempt
-                && held.state.placement().is_some_and(|placement| placement.instance == instance)
+        let is_current = self.state.task(&task).is_some_and(|current| {
+            current.attempt == attempt
+                && current.state.placement().is_some_and(|placement| placement.instance == instance)
         });
         if !is_current {
             // An attempt that runs although the shard knows better isn't wanted there.
@@ -269,7 +269,7 @@
             AttemptEvent::Released { reason } => Decision::Released { task, attempt, reason },
             AttemptEvent::Failed { reason } => {
                 self.placer.record_end(instance, &task.job, false, now);
-                let failures = self.state.task(&task).map_or(0, |held| held.failures);
+                let failures = self.state.task(&task).map_or(0, |current| current.failures);
                 let is_final =
                     failures + 1 >= MAX_FAILURES && !self.placer.is_on_probation(instance, now);
                 Decision::AttemptFailed { task, attempt, is_final, reason }
@@ -288,29 +288,29 @@
     async fn run_round(&mut self, mut round: Round) -> Result<(), ShardLost> {
         let (is_tick, tick) = (round.is_tick, self.tick);
         let is_due = |ticks: u32| is_tick && tick.is_multiple_of(ticks);
-        self.take_in_inbox(&mut round).await;
-        if is_due(LOOK_AROUND_TICKS) {
-            self.placer.look_around().await;
+        self.process_inbox(&mut round).await;
+        if is_due(MAINTENANCE_TICKS) {
+            self.placer.refresh_hints().await;
         }
         self.park_and_unpark(&mut round);
-        if !round.is_giving_up && self.state.waiting_count() > 0 {
+        if !round.is_releasing && self.state.waiting_count() > 0 {
             self.place(&mut round).await;
         }
         self.commit(round).await?;
-        if is_due(LOOK_AROUND_TICKS) {
+        if is_due(MAINTENANCE_TICKS) {
             self.check_leases().await?;
             self.archive().await;
         }
-        if is_due(HEAD_TICKS) {
+        if is_due(HEAD_CHECK_TICKS) {
             self.check_head().await?;
         }
-        if is_due(REPEAT_TICKS) {
-            self.repeat_starts();
+        if is_due(RESEND_TICKS) {
+            self.resend_starts();
         }
         Ok(())
     }
 
-    async fn take_in_inbox(&mut self, round: &mut Round) {
+    async fn process_inbox(&mut self, round: &mut Round) {
         let is_due = self.is_inbox_due || (round.is_tick && self.tick.is_multiple_of(INBOX_TICKS));
         if !is_due {
             return;
@@ -319,7 +319,7 @@
             Ok(InboxPage { decisions, keys }) => {
                 self.is_inbox_due = false;
                 for decision in decisions {
-                    self.note_stops(&decision, round);
+                    self.queue_stops(&decision, round);
                     self.decide(decision, round);
                 }
                 round.writes.extend(keys.into_iter().map(Write::delete));
@@ -332,14 +332,14 @@
     }
 
     /// Notes the attempts that a command ends.
-    fn note_stops(&self, decision: &Decision, round: &mut Round) {
+    fn queue_stops(&self, decision: &Decision, round: &mut Round) {
         let (job, kept) = match decision {
             Decision::JobCancelled { job, .. } => (job, 0),
             Decision::JobAmended { job, spec, .. } => (job, spec.tasks as usize),
             _ => return,
         };
-        let Some(held) = self.state.jobs().get(job) else { return };
-        for (index, task) in held.tasks.iter().enumerate().skip(kept) {
+        let Some(current) = self.state.jobs().get(job) else { return };
+        for (index, task) in current.tasks.iter().enumerate().skip(kept) {
             let Some(placement) = task.state.placement() else { continue };
             let order = StopOrder {
                 task: TaskId { job: job.clone(), index: index as u32 },
@@ -425,11 +425,11 @@
     }
 
     /// Writes into the head that the shard has no owner.
-    async fn give_up(&mut self) {
+    async fn release(&mut self) {
         let body =
             EntryBody::Ownership { owner: None, reason: "planned stop of the owner".to_owned() };
         let mut append = self.append(body, None, Vec::new(), Vec::new());
-        append.retry_deadline = Some(self.context.clock.now() + GIVE_UP_TIMEOUT);
+        append.retry_deadline = Some(self.context.clock.now() + RELEASE_TIMEOUT);
         let appended = self.stream.append(&self.context.store, &self.context.clock, append).await;
         info!(self.context.logger, "shard given up"; "shard" => self.shard,
             "committed" => matches!(appended, Ok(AppendOutcome::Committed(_))));
--- a/crates/teaseltrack-agent/src/tasks/owner/leases.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/leases.rs
@@ -29,7 +29,7 @@
         let members = self.context.node.members();
         let present: BTreeSet<&str> =
             members.iter().map(|member| member.instance.as_str()).collect();
-        let suspicious: Vec<InstanceId> = self
+        let instances_to_check: Vec<InstanceId> = self
             .state
             .instances()
             .filter(|instance| {
@@ -37,9 +37,9 @@
             })
             .cloned()
             .collect();
-        self.lease_watches.retain(|instance, _| suspicious.contains(instance));
+        self.lease_watches.retain(|instance, _| instances_to_check.contains(instance));
         let sent_at = self.context.clock.now();
-        let Ok(rows) = self.read_leases(&suspicious).await else { return Ok(()) };
+        let Ok(rows) = self.read_leases(&instances_to_check).await else { return Ok(()) };
         for row in rows {
             self.check_lease(row, sent_at).await?;
         }
@@ -62,10 +62,10 @@
     }
 
     fn has_new_incarnation(&self, instance: &str) -> bool {
-        let Some(heard) = self.placer.incarnation(instance) else { return false };
+        let Some(reported) = self.placer.incarnation(instance) else { return false };
         self.state.placed_on(instance).any(|id| {
             let placement = self.state.task(id).and_then(|task| task.state.placement());
-            placement.is_some_and(|placement| placement.incarnation < heard)
+            placement.is_some_and(|placement| placement.incarnation < reported)
         })
     }
 
@@ -77,10 +77,10 @@
             .entry(instance.clone())
             .or_insert_with(|| LeaseWatch::new(row.version, sent_at));
         watch.observe(row.version, sent_at);
-        let is_over = lease.state != LeaseState::Held;
-        let is_lapsed = !is_over && watch.is_lapsed(Duration::from_millis(lease.ttl_ms));
+        let is_ended = lease.state != LeaseState::Held;
+        let is_lapsed = !is_ended && watch.is_lapsed(Duration::from_millis(lease.ttl_ms));
         let last_incarnation =
-            if is_over || is_lapsed { lease.incarnation } else { lease.incarnation - 1 };
+            if is_ended || is_lapsed { lease.incarnation } else { lease.incarnation - 1 };
         let lost: Vec<(TaskId, u32)> = self
             .state
             .placed_on(&instance)
@@ -93,11 +93,11 @@
         if lost.is_empty() {
             return Ok(());
         }
-        self.take_back(lost, &row, lease, is_lapsed).await
+        self.reclaim(lost, &row, lease, is_lapsed).await
     }
 
     /// Commits that attempts are lost, together with the mark that their lease has lapsed.
-    async fn take_back(
+    async fn reclaim(
         &mut self,
         lost: Vec<(TaskId, u32)>,
         row: &Row,
@@ -109,8 +109,8 @@
         let conditions = vec![Condition { key: row.key.clone(), version: row.version }];
         let mut writes = Vec::new();
         if is_lapsed {
-            let marked = LeaseRow { state: LeaseState::Lapsed, ..lease.clone() };
-            writes.push(Write::put(row.key.clone(), &marked));
+            let lapsed_row = LeaseRow { state: LeaseState::Lapsed, ..lease.clone() };
+            writes.push(Write::put(row.key.clone(), &lapsed_row));
         }
         let reason = format!("lease {} of {} is over", lease.incarnation, lease.instance);
         let decisions: Vec<Decision> = lost
--- a/crates/teaseltrack-agent/src/tasks/owner/orders.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/orders.rs
@@ -23,9 +23,9 @@
 /// Time for an agent to take orders.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Wait before orders are sent again.
-const ORDER_RETRY: Duration = Duration::from_millis(300);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Time after which attempts that an unreachable agent should stop are left to their lease.
-const STOP_GIVE_UP: Duration = Duration::from_secs(600);
+const STOP_RETRY_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Orders to one agent.
 pub(super) enum Orders {
@@ -53,7 +53,7 @@
     ///
     /// An earlier owner may not have sent them, and an agent whose process was replaced may have taken
     /// them without its worker ever hearing of them. An agent that knows an attempt ignores its start.
-    pub(super) fn repeat_starts(&self) {
+    pub(super) fn resend_starts(&self) {
         let instances: Vec<InstanceId> = self.state.instances().cloned().collect();
         for instance in instances {
             let orders: Vec<StartOrder> =
@@ -85,35 +85,35 @@
             epoch: self.stream.head().epoch,
             control_address: self.context.owner.control_address.clone(),
         };
-        let (context, ended) = (self.context.clone(), self.orders.clone());
-        let give_up_at = match &orders {
+        let (context, cancellation) = (self.context.clone(), self.orders_cancellation.clone());
+        let retry_deadline = match &orders {
             Orders::Start(_) => None,
-            Orders::Stop(_) => Some(Instant::now() + STOP_GIVE_UP),
+            Orders::Stop(_) => Some(Instant::now() + STOP_RETRY_TIMEOUT),
         };
         tokio::spawn(async move {
-            while give_up_at.is_none_or(|at| Instant::now() < at) {
-                let address = address_of(&context.node, &instance);
+            while retry_deadline.is_none_or(|at| Instant::now() < at) {
+                let address = resolve_address(&context.node, &instance);
                 if let Some(address) = address
-                    && send_once(&context.clients, address, &owner, &orders).await.is_ok()
+                    && try_send(&context.clients, address, &owner, &orders).await.is_ok()
                 {
                     return;
                 }
                 tokio::select! {
-                    () = sleep(ORDER_RETRY) => {}
-                    () = ended.cancelled() => return,
+                    () = sleep(ORDER_RETRY_DELAY) => {}
+                    () = cancellation.cancelled() => return,
                 }
             }
         });
     }
 }
 
-fn address_of(node: &NodeHandle, instance: &str) -> Option<SocketAddr> {
+fn resolve_address(node: &NodeHandle, instance: &str) -> Option<SocketAddr> {
     let members = node.members();
     let member = members.iter().find(|member| member.instance == instance)?;
     member.control_address.parse().ok()
 }
 
-async fn send_once(
+async fn try_send(
     clients: &ControlClients,
     address: SocketAddr,
     owner: &ShardOwner,
@@ -121,11 +121,11 @@
 ) -> Result<(), ErrorKind> {
     let client = clients.client(address).await?;
     let context = deadline(ORDER_TIMEOUT);
-    let answer = match orders {
+    let response = match orders {
         Orders::Start(orders) => client.start_tasks(context, owner.clone(), orders.clone()).await,
         Orders::Stop(orders) => client.stop_tasks(context, owner.clone(), orders.clone()).await,
     };
-    match answer {
+    match response {
         Ok(result) => result,
         Err(_) => {
             clients.forget(address);
--- a/crates/teaseltrack-agent/src/tasks/owner/places.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/placement.rs
@@ -16,39 +16,39 @@
 use crate::tasks::owner::{OwnedShard, Round};
 
 /// Ticks between looks at parked tasks.
-const PARKED_TICKS: u32 = 40;
+const UNPARK_TICKS: u32 = 40;
 /// Wait between evictions for the sake of urgent tasks.
-const PREEMPTION_PERIOD: Duration = Duration::from_secs(1);
+const PREEMPTION_COOLDOWN: Duration = Duration::from_secs(1);
 
 impl OwnedShard {
     pub(super) fn park_and_unpark(&mut self, round: &mut Round) {
-        let mut impossible: Vec<TaskId> = Vec::new();
-        let mut checked: BTreeMap<&str, bool> = BTreeMap::new();
+        let mut infeasible: Vec<TaskId> = Vec::new();
+        let mut feasibility: BTreeMap<&str, bool> = BTreeMap::new();
         for id in self.state.waiting() {
             let Some(job) = self.state.jobs().get(&id.job) else { continue };
-            let is_possible = *checked
+            let is_feasible = *feasibility
                 .entry(id.job.as_str())
-                .or_insert_with(|| self.placer.is_possible(&Resources::declared(&job.spec)));
-            if !is_possible {
-                impossible.push(id.clone());
+                .or_insert_with(|| self.placer.is_feasible(&Resources::declared(&job.spec)));
+            if !is_feasible {
+                infeasible.push(id.clone());
             }
         }
-        for task in impossible {
+        for task in infeasible {
             let reason = "larger than the capacity of every known instance".to_owned();
             self.decide(Decision::Parked { task, reason }, round);
         }
-        if round.is_tick && self.tick.is_multiple_of(PARKED_TICKS) {
-            for task in self.unparkable() {
+        if round.is_tick && self.tick.is_multiple_of(UNPARK_TICKS) {
+            for task in self.tasks_to_unpark() {
                 let reason = "an instance could hold it now".to_owned();
                 self.decide(Decision::Unparked { task, reason }, round);
             }
         }
     }
 
-    fn unparkable(&self) -> Vec<TaskId> {
+    fn tasks_to_unpark(&self) -> Vec<TaskId> {
         let mut tasks = Vec::new();
         for (name, job) in self.state.jobs() {
-            if !self.placer.is_possible(&Resources::declared(&job.spec)) {
+            if !self.placer.is_feasible(&Resources::declared(&job.spec)) {
                 continue;
             }
             for (index, task) in job.tasks.iter().enumerate() {
@@ -66,7 +66,7 @@
         for decision in placed.decisions {
             self.decide(decision, round);
         }
-        if let Some(task) = placed.without_room.first() {
+        if let Some(task) = placed.urgent_unplaced.first() {
             self.preempt(task, now, round);
         }
     }
@@ -74,7 +74,7 @@
     /// Evicts background attempts from one instance, so that an urgent task finds room there.
     fn preempt(&mut self, urgent: &TaskId, now: Instant, round: &mut Round) {
         let is_too_soon =
-            self.preempted_at.is_some_and(|at| now.duration_since(at) < PREEMPTION_PERIOD);
+            self.preempted_at.is_some_and(|at| now.duration_since(at) < PREEMPTION_COOLDOWN);
         let Some(job) = self.state.jobs().get(&urgent.job) else { return };
         if is_too_soon {
             return;
--- a/crates/teaseltrack-agent/src/tasks/placer.rs
+++ b/crates/teaseltrack-agent/src/tasks/placer.rs
@@ -23,15 +23,15 @@
 use teaseltrack_wire::control::{ReservationRequest, ReservationResponse};
 
 /// Time for an agent to answer.
-const ROOM_TIMEOUT: Duration = Duration::from_millis(300);
+const RESERVATION_TIMEOUT: Duration = Duration::from_millis(300);
 /// Tasks placed in one round.
-const ROUND_TASKS: usize = 500;
+const MAX_ROUND_TASKS: usize = 500;
 /// Agents asked for their room in one look around.
-const LOOK_AROUND: usize = 8;
+const REFRESH_AGENTS: usize = 8;
 /// Agents asked for their room while none is known.
-const FIRST_LOOK_AROUND: usize = 32;
+const INITIAL_REFRESH_AGENTS: usize = 32;
 /// Time for which an agent that didn't answer is left out.
-const AVOIDANCE: Duration = Duration::from_secs(2);
+const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_secs(2);
 
 /// Finds places for the tasks of one shard.
 pub struct Placer {
@@ -39,17 +39,17 @@
     clients: ControlClients,
     hints: CapacityHints,
     probation: Probation,
-    avoided_until: BTreeMap<InstanceId, Instant>,
+    excluded_until: BTreeMap<InstanceId, Instant>,
     incarnations: BTreeMap<InstanceId, Incarnation>,
 }
 
 /// What a round of placing found.
 #[derive(Debug, Default)]
-pub struct Placed {
+pub struct PlacementResult {
     /// Assignments that got room.
     pub decisions: Vec<Decision>,
     /// Urgent tasks for which no instance has room.
-    pub without_room: Vec<TaskId>,
+    pub urgent_unplaced: Vec<TaskId>,
 }
 
 struct Candidate {
@@ -65,20 +65,20 @@
             clients,
             hints: CapacityHints::default(),
             probation: Probation::default(),
-            avoided_until: BTreeMap::new(),
+            excluded_until: BTreeMap::new(),
             incarnations: BTreeMap::new(),
         }
     }
 
     /// Takes in what an agent reported.
-    pub fn report(
+    pub fn record_report(
         &mut self,
         instance: &str,
         incarnation: Incarnation,
         capacity: Resources,
-        room: Resources,
+        available: Resources,
     ) {
-        self.hints.update(instance, capacity, room);
+        self.hints.update(instance, capacity, available);
         self.incarnations.insert(instance.to_owned(), incarnation);
     }
 
@@ -102,57 +102,58 @@
     }
 
     /// Whether any known instance could hold the task when empty; true while none is known.
-    pub fn is_possible(&self, resources: &Resources) -> bool {
+    pub fn is_feasible(&self, resources: &Resources) -> bool {
         self.hints.is_empty() || self.hints.is_feasible(resources)
     }
 
     /// Asks a few random agents for their room, so that the hints stay fresh.
-    pub async fn look_around(&mut self) {
+    pub async fn refresh_hints(&mut self) {
         let members = self.node.members();
         let agents: Vec<&Member> =
             members.iter().filter(|member| member.role == Role::Agent).collect();
         self.hints.retain(|instance| agents.iter().any(|agent| agent.instance == instance));
-        let count = if self.hints.is_empty() { FIRST_LOOK_AROUND } else { LOOK_AROUND };
+        let count = if self.hints.is_empty() { INITIAL_REFRESH_AGENTS } else { REFRESH_AGENTS };
         let chosen: Vec<(InstanceId, Vec<Candidate>)> = agents
             .sample(&mut rand::rng(), count)
             .map(|agent| (agent.instance.clone(), Vec::new()))
             .collect();
         let now = Instant::now();
-        self.ask_all(chosen, now).await;
+        self.reserve_all(chosen, now).await;
     }
 
     /// Finds places for waiting tasks, most urgent first.
-    pub async fn place(&mut self, state: &ShardState, now: Instant) -> Placed {
-        let mut placed = Placed::default();
-        let by_instance = self.choose(state, now, &mut placed);
-        placed.decisions = self.ask_all(by_instance.into_iter().collect(), now).await;
-        placed
+    pub async fn place(&mut self, state: &ShardState, now: Instant) -> PlacementResult {
+        let mut result = PlacementResult::default();
+        let by_instance = self.choose(state, now, &mut result);
+        result.decisions = self.reserve_all(by_instance.into_iter().collect(), now).await;
+        result
     }
 
     fn choose(
         &mut self,
         state: &ShardState,
         now: Instant,
-        placed: &mut Placed,
+        result: &mut PlacementResult,
     ) -> BTreeMap<InstanceId, Vec<Candidate>> {
         let mut chosen: BTreeMap<InstanceId, Vec<Candidate>> = BTreeMap::new();
-        let mut full: Vec<Resources> = Vec::new();
-        for id in state.waiting().take(ROUND_TASKS) {
+        let mut unplaceable: Vec<Resources> = Vec::new();
+        for id in state.waiting().take(MAX_ROUND_TASKS) {
             let Some(job) = state.jobs().get(&id.job) else { continue };
             let Some(task) = state.task(id) else { continue };
             let resources = Resources::declared(&job.spec);
-            if full.iter().any(|without_room| resources.can_fit(without_room)) {
+            if unplaceable.iter().any(|smaller| resources.can_fit(smaller)) {
                 continue;
             }
-            let is_avoided = |instance: &str| {
-                self.avoided_until.get(instance).is_some_and(|until| *until > now)
+            let is_excluded = |instance: &str| {
+                self.excluded_until.get(instance).is_some_and(|until| *until > now)
                     || self.probation.is_on_probation(instance, now)
             };
-            let Some(instance) = self.hints.choose(&resources, is_avoided, &mut rand::rng()) else {
+            let Some(instance) = self.hints.choose(&resources, is_excluded, &mut rand::rng())
+            else {
                 if Class::from_urgency(job.spec.urgency) == Class::Urgent {
-                    placed.without_room.push(id.clone());
+                    result.urgent_unplaced.push(id.clone());
                 }
-                full.push(resources);
+                unplaceable.push(resources);
                 continue;
             };
             self.hints.deduct(&instance, &resources);
@@ -165,13 +166,13 @@
     }
 
     /// Asks each instance for room; the assignments that were granted.
-    async fn ask_all(
+    async fn reserve_all(
         &mut self,
         chosen: Vec<(InstanceId, Vec<Candidate>)>,
         now: Instant,
     ) -> Vec<Decision> {
         let members = self.node.members();
-        let asks = chosen.into_iter().map(|(instance, candidates)| {
+        let calls = chosen.into_iter().map(|(instance, candidates)| {
             let address = members
                 .iter()
                 .find(|member| member.instance == instance)
@@ -180,39 +181,39 @@
             async move {
                 let requests =
                     candidates.iter().map(|candidate| candidate.request.clone()).collect();
-                let answer = match address {
-                    Some(address) => ask_room(&clients, address, requests).await,
+                let response = match address {
+                    Some(address) => reserve(&clients, address, requests).await,
                     None => None,
                 };
-                (instance, candidates, answer)
+                (instance, candidates, response)
             }
         });
-        let answers = join_all(asks).await;
+        let responses = join_all(calls).await;
         let mut decisions = Vec::new();
-        for (instance, candidates, answer) in answers {
-            match answer {
-                Some(answer) => decisions.extend(self.granted(&instance, candidates, answer)),
+        for (instance, candidates, response) in responses {
+            match response {
+                Some(response) => decisions.extend(self.assigned(&instance, candidates, response)),
                 None => {
-                    self.avoided_until.insert(instance, now + AVOIDANCE);
+                    self.excluded_until.insert(instance, now + UNRESPONSIVE_COOLDOWN);
                 }
             }
         }
         decisions
     }
 
-    fn granted(
+    fn assigned(
         &mut self,
         instance: &str,
         candidates: Vec<Candidate>,
-        answer: ReservationResponse,
+        response: ReservationResponse,
     ) -> Vec<Decision> {
-        self.hints.update(instance, answer.capacity, answer.available);
-        let Some(incarnation) = answer.incarnation else { return Vec::new() };
+        self.hints.update(instance, response.capacity, response.available);
+        let Some(incarnation) = response.incarnation else { return Vec::new() };
         self.incarnations.insert(instance.to_owned(), incarnation);
         let placement = Placement { instance: instance.to_owned(), incarnation };
         candidates
             .into_iter()
-            .zip(answer.granted)
+            .zip(response.granted)
             .filter(|(_, is_granted)| *is_granted)
             .map(|(candidate, _)| Decision::Assigned {
                 task: candidate.request.task,
@@ -224,14 +225,14 @@
     }
 }
 
-async fn ask_room(
+async fn reserve(
     clients: &ControlClients,
     address: SocketAddr,
     requests: Vec<ReservationRequest>,
 ) -> Option<ReservationResponse> {
     let client = clients.client(address).await.ok()?;
-    match client.reserve_room(deadline(ROOM_TIMEOUT), requests).await {
-        Ok(answer) => answer.ok(),
+    match client.reserve_room(deadline(RESERVATION_TIMEOUT), requests).await {
+        Ok(response) => response.ok(),
         Err(_) => {
             clients.forget(address);
             None
--- a/crates/teaseltrack-agent/src/tasks/reporter.rs
+++ b/crates/teaseltrack-agent/src/tasks/reporter.rs
@@ -22,13 +22,13 @@
 use crate::tasks::attempts::AttemptMessage;
 
 /// Messages that may wait for the task.
-pub const INBOX_MESSAGES: usize = 4_096;
+pub const CHANNEL_CAPACITY: usize = 4_096;
 /// Time for the owner to commit a batch.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Wait before a batch is sent again.
-const RETRY_PERIOD: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Reports of one batch.
-const BATCH_REPORTS: usize = 500;
+const MAX_BATCH_REPORTS: usize = 500;
 
 /// A report and what goes with it.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     /// Capacity of the instance for tasks.
     pub capacity: Resources,
     /// Room that is left.
-    pub room: Resources,
+    pub available: Resources,
     /// Incarnation of the lease.
     pub incarnation: Incarnation,
 }
@@ -106,15 +106,15 @@
             instance: self.instance.clone(),
             incarnation: first.incarnation,
             capacity: first.capacity,
-            available: first.room,
+            available: first.available,
             shard,
             reports: vec![first.report],
         };
-        while batch.reports.len() < BATCH_REPORTS
+        while batch.reports.len() < MAX_BATCH_REPORTS
             && let Ok(next) = receiver.try_recv()
         {
             batch.incarnation = next.incarnation;
-            batch.available = next.room;
+            batch.available = next.available;
             batch.reports.push(next.report);
         }
         batch
@@ -137,7 +137,7 @@
                     }
                 }
             }
-            sleep(RETRY_PERIOD).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
--- a/crates/teaseltrack-agent/src/tasks/shard_manager.rs
+++ b/crates/teaseltrack-agent/src/tasks/shard_manager.rs
@@ -33,19 +33,19 @@
 use crate::tasks::owner::{OwnerContext, OwnerMessage, ShardOwnerTask, run_owner};
 
 /// Messages that may wait for the task.
-pub const INBOX_MESSAGES: usize = 1_024;
+pub const CHANNEL_CAPACITY: usize = 1_024;
 /// Time between looks at the shards.
-const PERIOD: Duration = Duration::from_secs(1);
+const CHECK_PERIOD: Duration = Duration::from_secs(1);
 /// Time after which the second choice takes an ownerless shard.
-const SECOND_CHOICE_WAIT: Duration = Duration::from_secs(5);
+const SECONDARY_TAKEOVER_DELAY: Duration = Duration::from_secs(5);
 /// Time for which an owner that the fleet takes to be there is believed without reading the head.
-const OWNER_MEMORY: Duration = Duration::from_secs(5);
+const CACHE_TTL: Duration = Duration::from_secs(5);
 /// Time after its start before an agent takes shards.
 const START_GRACE: Duration = Duration::from_secs(2);
 /// Agents that may take a shard.
-const CANDIDATES: usize = 2;
+const MAX_CANDIDATES: usize = 2;
 /// Messages that may wait for an owner.
-const OWNER_MESSAGES: usize = 1_024;
+const OWNER_CHANNEL_CAPACITY: usize = 1_024;
 
 /// A message to the task.
 #[derive(Debug)]
@@ -62,21 +62,21 @@
 pub struct ShardManager {
     logger: Logger,
     context: Arc<OwnerContext>,
-    owned: BTreeMap<ShardNumber, OwnedShard>,
+    owned: BTreeMap<ShardNumber, OwnerHandle>,
     ownerless_since: BTreeMap<ShardNumber, Instant>,
-    seen_owners: BTreeMap<ShardNumber, SeenOwner>,
+    cached_owners: BTreeMap<ShardNumber, CachedOwner>,
     /// Shards that this agent may take, with its rank, for the members in `agents`.
     candidacies: Vec<(ShardNumber, usize)>,
     agents: Vec<InstanceId>,
 }
 
 /// A live owner, as last read from the shard's head.
-struct SeenOwner {
+struct CachedOwner {
     owner: Owner,
     read_at: Instant,
 }
 
-struct OwnedShard {
+struct OwnerHandle {
     sender: mpsc::Sender<OwnerMessage>,
     ended: CancellationToken,
 }
@@ -89,7 +89,7 @@
             context,
             owned: BTreeMap::new(),
             ownerless_since: BTreeMap::new(),
-            seen_owners: BTreeMap::new(),
+            cached_owners: BTreeMap::new(),
             candidacies: Vec::new(),
             agents: Vec::new(),
         }
@@ -98,21 +98,21 @@
     /// Runs until the agent stops.
     pub async fn run(mut self, mut receiver: mpsc::Receiver<ShardMessage>) {
         // An agent that has just started knows too few others to tell who is preferred.
-        let mut look_at = Instant::now() + START_GRACE;
+        let mut next_check_at = Instant::now() + START_GRACE;
         loop {
             tokio::select! {
                 message = receiver.recv() => match message {
                     Some(ShardMessage::Drain(reply)) => {
-                        self.give_up_all().await;
+                        self.release_all().await;
                         reply.send(()).ok();
                         return;
                     }
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                () = sleep_until(look_at.into()) => {
-                    look_at = Instant::now() + PERIOD.mul_f64(rand::rng().random_range(0.8..1.2));
-                    if let Err(error) = self.look().await {
+                () = sleep_until(next_check_at.into()) => {
+                    next_check_at = Instant::now() + CHECK_PERIOD.mul_f64(rand::rng().random_range(0.8..1.2));
+                    if let Err(error) = self.check_shards().await {
                         debug!(self.logger, "no look at the shards"; "error" => %error);
                     }
                 }
@@ -141,19 +141,19 @@
         }
     }
 
-    async fn look(&mut self) -> Result<(), StoreError> {
+    async fn check_shards(&mut self) -> Result<(), StoreError> {
         self.owned.retain(|_, owned| !owned.ended.is_cancelled());
-        self.follow_members();
+        self.update_candidacies();
         for (shard, rank) in self.candidacies.clone() {
             if !self.owned.contains_key(&shard) {
-                self.consider(shard, rank).await?;
+                self.check_shard(shard, rank).await?;
             }
         }
         Ok(())
     }
 
     /// Works out anew which shards this agent may take, if other agents are there than before.
-    fn follow_members(&mut self) {
+    fn update_candidacies(&mut self) {
         let members = self.context.node.members();
         let agents: Vec<InstanceId> = members
             .iter()
@@ -168,17 +168,17 @@
             .filter_map(|shard| {
                 let preferred = preferred_owners(shard, agents.iter());
                 let rank = preferred.iter().position(|agent| *agent == own)?;
-                (rank < CANDIDATES).then_some((shard, rank))
+                (rank < MAX_CANDIDATES).then_some((shard, rank))
             })
             .collect();
         self.agents = agents;
     }
 
-    async fn consider(&mut self, shard: ShardNumber, rank: usize) -> Result<(), StoreError> {
+    async fn check_shard(&mut self, shard: ShardNumber, rank: usize) -> Result<(), StoreError> {
         let is_known_live = self
-            .seen_owners
+            .cached_owners
             .get(&shard)
-            .is_some_and(|seen| seen.read_at.elapsed() < OWNER_MEMORY && self.is_live(&seen.owner));
+            .is_some_and(|entry| entry.read_at.elapsed() < CACHE_TTL && self.is_live(&entry.owner));
         if is_known_live {
             return Ok(());
         }
@@ -186,13 +186,13 @@
         let head: StreamHead = row.as_ref().map(Row::parse).transpose()?.unwrap_or_default();
         if let Some(owner) = head.owner.filter(|owner| self.is_live(owner)) {
             self.ownerless_since.remove(&shard);
-            self.seen_owners.insert(shard, SeenOwner { owner, read_at: Instant::now() });
+            self.cached_owners.insert(shard, CachedOwner { owner, read_at: Instant::now() });
             return Ok(());
         }
         let since = *self.ownerless_since.entry(shard).or_insert_with(Instant::now);
-        if rank == 0 || since.elapsed() >= SECOND_CHOICE_WAIT {
+        if rank == 0 || since.elapsed() >= SECONDARY_TAKEOVER_DELAY {
             self.ownerless_since.remove(&shard);
-            self.take(shard);
+            self.start_owner(shard);
         }
         Ok(())
     }
@@ -202,9 +202,9 @@
         owner.instance != self.context.owner.instance && self.agents.contains(&owner.instance)
     }
 
-    fn take(&mut self, shard: ShardNumber) {
+    fn start_owner(&mut self, shard: ShardNumber) {
         info!(self.logger, "taking a shard"; "shard" => shard);
-        let (sender, receiver) = mpsc::channel(OWNER_MESSAGES);
+        let (sender, receiver) = mpsc::channel(OWNER_CHANNEL_CAPACITY);
         let ended = CancellationToken::new();
         let guard = ended.clone().drop_guard();
         let context = self.context.clone();
@@ -212,12 +212,12 @@
             run_owner(ShardOwnerTask { shard, context, receiver }).await;
             drop(guard);
         });
-        self.owned.insert(shard, OwnedShard { sender, ended });
+        self.owned.insert(shard, OwnerHandle { sender, ended });
     }
 
-    async fn give_up_all(&mut self) {
+    async fn release_all(&mut self) {
         for owned in std::mem::take(&mut self.owned).into_values() {
-            owned.sender.send(OwnerMessage::GiveUp).await.ok();
+            owned.sender.send(OwnerMessage::Release).await.ok();
             owned.ended.cancelled().await;
         }
     }
--- a/crates/teaseltrack-agent/tests/settings.rs
+++ b/crates/teaseltrack-agent/tests/settings.rs
@@ -42,10 +42,10 @@
     missing_unit = { "probe_period_ms = 1000", "probe_period = 1000", "probe_period" },
     zero_period = { "probe_period_ms = 1000", "probe_period_ms = 0", "control.probe_period_ms" },
     empty_zone = { "zone = \"zilina-a\"", "zone = \"\"", "instance.zone" },
-    word_for_number = { "timeout_ms = 2000", "timeout_ms = \"soon\"", "timeout_ms" },
-    no_address = { "[platform]\n", "[platform]\naddres = 1\n", "addres" },
+    string_for_number = { "timeout_ms = 2000", "timeout_ms = \"soon\"", "timeout_ms" },
+    misspelled_address = { "[platform]\n", "[platform]\naddres = 1\n", "addres" },
     ratio_above_one = { "sampled_ratio = 0.01", "sampled_ratio = 1.5", "observation.traces.sampled_ratio" },
-    no_concrete_ip = { "address = \"127.0.0.2:7101\"", "address = \"0.0.0.0:7101\"", "requests.address" },
+    unspecified_ip = { "address = \"127.0.0.2:7101\"", "address = \"0.0.0.0:7101\"", "requests.address" },
 )]
 fn check_names_key(from: &str, to: &str, key: &str) {
     let settings = SAMPLE.replacen(from, to, 1);
