--- a/crates/teaseltrack-agent/src/agent.rs
+++ b/crates/teaseltrack-agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! Starts an agent's tasks and stops them in order.
+//! Startup and graceful shutdown of an agent.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -53,25 +53,25 @@
     },
 };
 
-/// Requests of one entry at once.
+/// Maximum number of concurrent requests per connection from an entry.
 const MAX_STREAMS: u32 = 8_192;
-/// Calls about tasks that may wait.
+/// Capacity of the channel for control calls about tasks.
 const TASK_CALL_CHANNEL_CAPACITY: usize = 1_024;
-/// Time for which a stopping agent still refuses requests itself, so that entries hear of it.
+/// Time for which a drained agent keeps refusing requests, so that entries learn of the drain.
 const REFUSAL_GRACE: Duration = Duration::from_secs(1);
-/// Time for running requests and tasks to end in a planned stop.
+/// Timeout of each drain step of a graceful shutdown: requests, tasks, shards, lease and server.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// Wait before the worker is asked again.
+/// Delay before the worker is queried again.
 const WORKER_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Addresses that an agent serves.
+/// Addresses on which an agent listens.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentAddresses {
     /// Requests from entries.
     pub requests: SocketAddr,
-    /// Control calls.
+    /// Control calls from peers.
     pub control: SocketAddr,
-    /// Announcements of the target.
+    /// Announcements from the target.
     pub announce: SocketAddr,
     /// Liveness, readiness and status.
     pub health: SocketAddr,
@@ -87,7 +87,7 @@
     spans: Spans,
 }
 
-/// The parts of an agent that run tasks.
+/// Handles to the async tasks that execute and schedule tasks.
 struct TaskHandles {
     attempts: mpsc::Sender<AttemptMessage>,
     shards: mpsc::Sender<ShardMessage>,
@@ -103,11 +103,11 @@
 }
 
 impl Agent {
-    /// Binds the addresses and starts all tasks.
+    /// Binds the addresses and starts the agent.
     ///
     /// # Errors
     ///
-    /// An address can't be bound.
+    /// An address can't be bound, or the metrics can't be set up.
     pub async fn start(settings: AgentSettings, shutdown: Shutdown) -> Result<Self, StartError> {
         let logger =
             logs::logger(settings.observation.logs, "teaseltrack-agent", &settings.instance.name);
@@ -156,26 +156,26 @@
         tokio::spawn(serve_announcements(listeners.announce, capacity.clone(), closing));
         let status = status_report(&common, &capacity, &target, tasks.as_ref());
         tokio::spawn(serve_health(listeners.health, common.shutdown.clone(), status));
-        info!(logger, "agent serves"; "requests" => %addresses.requests,
+        info!(logger, "agent started"; "requests" => %addresses.requests,
             "control" => %addresses.control, "announce" => %addresses.announce);
         Ok(Self { common, addresses, capacity, tasks, server, spans })
     }
 
-    /// Addresses that the agent serves.
+    /// Addresses on which the agent listens.
     pub fn addresses(&self) -> AgentAddresses {
         self.addresses
     }
 
-    /// Waits for the planned stop and carries it out.
+    /// Waits for the shutdown signal, then shuts down gracefully.
     pub async fn wait(self) {
         self.common.shutdown.draining.cancelled().await;
         let logger = self.common.logger.clone();
-        info!(logger, "planned stop begins");
+        info!(logger, "graceful shutdown started");
         let requests = self.capacity.request(CapacityMessage::Drain);
         let tasks = drain_tasks(self.tasks, &logger);
         let (requests, ()) = tokio::join!(timeout(DRAIN_TIMEOUT, requests), tasks);
         if requests.is_err() {
-            warn!(logger, "requests still running at the end of the planned stop");
+            warn!(logger, "requests still running after the drain timeout");
         }
         sleep(REFUSAL_GRACE).await;
         self.common.node.ask(NodeMessage::Leave).await;
@@ -183,7 +183,7 @@
         self.common.shutdown.closing.cancel();
         drop(timeout(DRAIN_TIMEOUT, self.server).await);
         self.spans.flush();
-        info!(logger, "stopped");
+        info!(logger, "agent stopped");
     }
 }
 
@@ -310,7 +310,7 @@
     TaskHandles { attempts, shards, release, status: status_receiver }
 }
 
-/// The incarnation under which the worker runs already, once it answers.
+/// Queries the worker until it responds; returns the incarnation under which its attempts run.
 async fn query_worker_incarnation(worker: &mut WorkerClient) -> Option<u64> {
     loop {
         match worker.sync(None, None, 1.0, Vec::new()).await {
@@ -320,7 +320,7 @@
     }
 }
 
-/// Evicts all attempts, gives up the shards and releases the lease, in this order.
+/// Evicts all attempts, releases the shards and releases the lease, in this order.
 async fn drain_tasks(tasks: Option<TaskHandles>, logger: &Logger) {
     let Some(tasks) = tasks else { return };
     let (reply, drained) = oneshot::channel();
@@ -330,8 +330,8 @@
     tasks.shards.send(ShardMessage::Drain(reply)).await.ok();
     drop(timeout(DRAIN_TIMEOUT, shards_released).await);
     if !is_drained {
-        // The lease stays to lapse by itself, which is when others may take the work.
-        warn!(logger, "tasks not handed over by the end of the planned stop");
+        // The lease must lapse before other agents may reclaim attempts that may still run.
+        warn!(logger, "tasks not drained within the timeout; leaving the lease to lapse");
         return;
     }
     let (reply, released) = oneshot::channel();
--- a/crates/teaseltrack-agent/src/announce.rs
+++ b/crates/teaseltrack-agent/src/announce.rs
@@ -1,7 +1,7 @@
-//! The loopback port on which the target announces itself.
+//! Loopback HTTP endpoint on which the target announces itself.
 //!
-//! `PUT /target` announces or renews, `DELETE /target` withdraws and is answered once the target's
-//! running requests have ended, so that the target may then exit.
+//! `PUT /target` announces the target or renews the announcement. `DELETE /target` withdraws it and
+//! responds once the target's running requests have ended, so that the target can exit safely.
 
 use std::net::SocketAddr;
 
@@ -19,28 +19,28 @@
 
 use crate::requests::capacity::{CapacityHandle, CapacityMessage};
 
-/// Connections to the port at once.
+/// Maximum number of concurrent connections.
 const MAX_CONNECTIONS: usize = 16;
-/// Largest announcement, in bytes.
+/// Maximum size of an announcement, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 10;
 /// Path of the announcement.
 const TARGET_PATH: &str = "/target";
 
-/// What a target says of itself.
+/// Announcement sent by a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetAnnouncement {
-    /// Service that it answers for.
+    /// Service that the target provides.
     pub service: String,
-    /// Address on which it takes requests, `IP:port`.
+    /// Address on which the target accepts requests, `IP:port`.
     pub address: SocketAddr,
-    /// Requests that it takes at once.
+    /// Number of requests that the target accepts concurrently.
     pub slots: u32,
-    /// Differs for each life of the target's process.
+    /// Identifies the incarnation of the target's process; changes with every restart.
     pub process: String,
 }
 
-/// Serves the announcement port until `closing` is cancelled.
+/// Serves the announcement endpoint until `closing` is cancelled.
 pub async fn serve_announcements(
     listener: TcpListener,
     capacity: CapacityHandle,
--- a/crates/teaseltrack-agent/src/lib.rs
+++ b/crates/teaseltrack-agent/src/lib.rs
@@ -1,9 +1,9 @@
-//! The process beside each target.
+//! Agent daemon, colocated with each target.
 //!
-//! An agent is the only owner of its instance's capacity. It takes the target's announcement
+//! An agent is the only allocator of its instance's capacity. It accepts the target's announcement
 //! ([`announce`]), admits and forwards requests ([`requests`]), runs tasks on the worker under the
-//! instance's lease and owns job shards ([`tasks`]). It keeps nothing: what must last is in the
-//! platform's store, and the rest is learnt from peers.
+//! instance's lease and owns job shards ([`tasks`]). It has no persistent state of its own: durable
+//! state is in the platform's store, and everything else is received from peers.
 
 pub mod agent;
 pub mod announce;
@@ -17,10 +17,10 @@
 
 use crate::{agent::Agent, options::config::AgentSettings};
 
-/// Threads of the process; waking up more of them costs more than they gain.
+/// Threads of the async runtime; waking further threads costs more than their parallelism gains.
 const WORKER_THREADS: usize = 1;
 
-/// Runs the agent as the command line says.
+/// Runs the agent with the options of the command line.
 pub fn run_from_command_line() -> ExitCode {
     let about = "Owns an instance's capacity: admits requests for its target and runs its tasks";
     let matches = args::command("teaseltrack-agent", about).get_matches();
--- a/crates/teaseltrack-agent/src/main.rs
+++ b/crates/teaseltrack-agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The process beside each target.
+//! Entry point of the agent daemon.
 
 use std::process::ExitCode;
 
--- a/crates/teaseltrack-agent/src/options.rs
+++ b/crates/teaseltrack-agent/src/options.rs
@@ -1,3 +1,3 @@
-//! What an operator sets for an agent.
+//! Settings of an agent.
 
 pub mod config;
--- a/crates/teaseltrack-agent/src/options/config.rs
+++ b/crates/teaseltrack-agent/src/options/config.rs
@@ -1,4 +1,4 @@
-//! The agent's settings file.
+//! Schema and validation of the agent's settings file.
 
 use std::net::SocketAddr;
 
@@ -14,19 +14,19 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// The instance.
+    /// Identity and location of the instance.
     pub instance: InstanceSettings,
     /// Membership and control calls.
     pub control: ControlSettings,
-    /// Requests from entries.
+    /// Request path from entries.
     pub requests: RequestSettings,
-    /// The target beside the agent.
+    /// The target that the agent serves.
     pub target: TargetSettings,
-    /// Tasks; absent on an instance that runs none.
+    /// Tasks; absent on an instance that runs no tasks.
     pub tasks: Option<TaskSettings>,
-    /// The platform's store.
+    /// Connection to the platform's store.
     pub platform: PlatformSettings,
-    /// Liveness, readiness and status.
+    /// Health port: liveness, readiness and status.
     pub health: HealthSettings,
     /// Logs, metrics and traces.
     #[serde(default)]
@@ -37,12 +37,12 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestSettings {
-    /// Address on which entries' requests arrive, `IP:port`.
+    /// Listen address for requests from entries, `IP:port`.
     pub address: SocketAddr,
-    /// Requests of one class that may wait.
+    /// Maximum number of queued requests per class.
     #[serde(default = "default_queue_per_class")]
     pub queue_per_class: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: usize,
 }
@@ -51,15 +51,15 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSettings {
-    /// Loopback address on which the target announces itself, `IP:port`.
+    /// Loopback listen address for the target's announcements, `IP:port`.
     pub announce_address: SocketAddr,
-    /// Time after its last announcement when the target is taken to be gone, in milliseconds.
+    /// Time after the last announcement at which the target is considered gone, in milliseconds.
     #[serde(default = "default_announcement_ttl_ms")]
     pub announcement_ttl_ms: u64,
-    /// Most requests that the target may be given at once, whatever it announces.
+    /// Maximum number of concurrent requests to the target, regardless of what it announces.
     #[serde(default = "default_max_slots")]
     pub max_slots: u32,
-    /// Most connections to the target.
+    /// Maximum number of connections to the target.
     #[serde(default = "default_max_connections")]
     pub max_connections: u32,
 }
@@ -70,14 +70,14 @@
 pub struct TaskSettings {
     /// Address of the platform's worker on this instance, `IP:port`.
     pub worker_address: SocketAddr,
-    /// Length of the instance's lease, in milliseconds.
+    /// Duration of the instance's lease, in milliseconds.
     #[serde(default = "default_lease_ttl_ms")]
     pub lease_ttl_ms: u64,
-    /// Processors for tasks, in thousandths of a core.
+    /// CPU capacity for tasks, in thousandths of a core.
     pub cpu_milli: u64,
-    /// Memory for tasks, in mebibytes.
+    /// Memory capacity for tasks, in mebibytes.
     pub memory_mib: u64,
-    /// Accelerators for tasks.
+    /// Number of accelerators for tasks.
     #[serde(default)]
     pub accelerators: u64,
 }
@@ -107,11 +107,11 @@
 }
 
 impl AgentSettings {
-    /// Checks the values.
+    /// Validates the values.
     ///
     /// # Errors
     ///
-    /// The first key with an impossible value.
+    /// The first key whose value is invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.instance.check()?;
         self.control.check()?;
--- a/crates/teaseltrack-agent/src/requests.rs
+++ b/crates/teaseltrack-agent/src/requests.rs
@@ -1,4 +1,6 @@
-//! Requests: admitted by the owner of the target's slots, forwarded, and answered whole or not at all.
+//! Request path: admission to the target's slots and forwarding to the target.
+//!
+//! A response is delivered complete or reported as failed.
 
 pub mod capacity;
 pub mod forward;
--- a/crates/teaseltrack-agent/src/requests/capacity.rs
+++ b/crates/teaseltrack-agent/src/requests/capacity.rs
@@ -1,7 +1,8 @@
-//! The task that owns the target's slots and queue.
+//! Async task that allocates the target's slots and owns the request queue.
 //!
-//! A slot is freed when the target has answered or closed the connection, not when the caller stops
-//! waiting: a frozen target keeps its slots until it thaws or another process takes its place.
+//! A slot is freed when the target has responded or closed the connection, not when the caller
+//! stops waiting: the slots of a hung target stay occupied until it recovers or its process is
+//! replaced.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -29,66 +30,66 @@
 
 use crate::announce::TargetAnnouncement;
 
-/// Messages that may wait for the task.
+/// Capacity of the task's message channel.
 const CHANNEL_CAPACITY: usize = 4_096;
-/// Time between looks for a lapsed announcement.
+/// Interval between checks for an expired announcement.
 const ANNOUNCEMENT_CHECK_PERIOD: Duration = Duration::from_millis(200);
-/// Advice on when to try again after a refusal that isn't the queue's.
+/// Advised retry delay of refusals that don't come from admission control.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A slot of the target.
+/// Permission to use one slot of the target.
 #[derive(Clone, Debug)]
 pub struct Permit {
     /// The slot.
     pub key: PermitKey,
-    /// The life of the target that it belongs to.
+    /// Generation of the target that the slot belongs to.
     pub generation: u64,
-    /// Where the target takes requests.
+    /// Address on which the target accepts requests.
     pub target: SocketAddr,
 }
 
-/// A request that is offered.
+/// A request that asks for admission.
 #[derive(Debug)]
 pub struct RequestOffer {
     /// Service that the request is for.
     pub service: String,
-    /// What admission needs to know.
+    /// Attributes that admission control uses.
     pub meta: RequestMeta,
-    /// Gets the slot or the refusal.
+    /// Receives the permit or the refusal.
     pub reply: oneshot::Sender<Result<Permit, Refusal>>,
 }
 
 /// A message to the task.
 #[derive(Debug)]
 pub enum CapacityMessage {
-    /// A request is offered.
+    /// Admit a request.
     Offer(RequestOffer),
-    /// A request has ended; with its latency if the target answered.
+    /// A request has ended; with its latency if the target's response was complete.
     Release(Permit, Option<Duration>),
-    /// The target announced itself.
+    /// The target announced itself or renewed its announcement.
     Announce(TargetAnnouncement),
-    /// The target leaves; answered when its requests have ended.
+    /// The target withdraws; the reply is sent when its requests have ended.
     Withdraw(oneshot::Sender<()>),
-    /// The agent stops; answered when all requests have ended.
+    /// The agent shuts down; the reply is sent when all requests have ended.
     Drain(oneshot::Sender<()>),
 }
 
 /// Counts for the status report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CapacityStatus {
-    /// Load at present.
+    /// Current load.
     pub load: LoadReport,
     /// Requests started so far.
     pub started: u64,
     /// Requests refused so far.
     pub refused: u64,
-    /// Most requests that ran at once.
+    /// Highest number of requests that ran concurrently.
     pub max_in_flight: u32,
-    /// Smoothed service latency over its remembered minimum.
+    /// Ratio of the smoothed service latency to its baseline.
     pub latency_ratio: f64,
 }
 
-/// Sender to the task, cheap to clone.
+/// Handle to the task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct CapacityHandle {
     sender: mpsc::Sender<CapacityMessage>,
@@ -101,7 +102,7 @@
         self.sender.send(message).await.ok();
     }
 
-    /// Sends a message and waits for the reply; `None` when the task has ended.
+    /// Sends a message and waits for the reply; `None` if the task has ended.
     pub async fn request<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> CapacityMessage,
@@ -111,25 +112,25 @@
         response.await.ok()
     }
 
-    /// Counts as last published.
+    /// Last published status.
     pub fn status(&self) -> CapacityStatus {
         *self.status.borrow()
     }
 
-    /// Load as last published.
+    /// Last published load.
     pub fn load(&self) -> LoadReport {
         self.status().load
     }
 }
 
-/// Bounds of the target, from the settings.
+/// Limits of the target, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityLimits {
-    /// Most requests at once.
+    /// Maximum number of concurrent requests.
     pub max_slots: u32,
-    /// Requests of one class that may wait.
+    /// Maximum number of queued requests per class.
     pub queue_per_class: usize,
-    /// Time after its last announcement when the target is taken to be gone.
+    /// Time after the last announcement at which the target is considered gone.
     pub announcement_ttl: Duration,
 }
 
@@ -156,15 +157,15 @@
     status: watch::Sender<CapacityStatus>,
 }
 
-/// What the task needs beside its limits.
+/// Dependencies of the task.
 pub struct CapacityContext {
-    /// Logs.
+    /// Logger.
     pub logger: Logger,
     /// Clock.
     pub clock: SharedClock,
     /// Metrics.
     pub metrics: Metrics,
-    /// The node, which tells the fleet of the target.
+    /// The node, which announces the target to the fleet.
     pub node: NodeHandle,
     /// Clients of control calls.
     pub clients: ControlClients,
@@ -230,12 +231,12 @@
             CapacityMessage::Announce(announcement) => self.announce(announcement).await,
             CapacityMessage::Withdraw(reply) => {
                 self.drain_waiters.push(reply);
-                self.withdraw("the target withdrew").await;
+                self.withdraw("withdrawn by the target").await;
             }
             CapacityMessage::Drain(reply) => {
                 self.drain_waiters.push(reply);
                 self.is_shutting_down = true;
-                self.withdraw("the agent stops").await;
+                self.withdraw("agent shutting down").await;
             }
         }
     }
@@ -268,7 +269,7 @@
         reply.send(Err(refusal)).ok();
     }
 
-    /// Starts what can start; a request whose caller has gone is dropped before it starts.
+    /// Grants free slots to queued requests, skipping requests whose caller is gone.
     fn dispatch(&mut self) {
         let Some(target) = self.target.as_ref().map(|target| target.announcement.address) else {
             return;
@@ -329,7 +330,7 @@
             && target.is_present
         {
             target.is_present = false;
-            info!(self.logger, "target left"; "reason" => reason);
+            info!(self.logger, "target withdrawn"; "reason" => reason);
         }
         self.publish_target(None).await;
     }
@@ -341,8 +342,8 @@
             .as_ref()
             .is_some_and(|target| target.is_present && target.renewed_at.elapsed() >= ttl);
         if is_overdue {
-            warn!(self.logger, "target stopped announcing itself");
-            self.withdraw("no announcement").await;
+            warn!(self.logger, "target announcement expired");
+            self.withdraw("announcement expired").await;
         }
         self.publish();
     }
@@ -361,7 +362,7 @@
         }
     }
 
-    /// Answers those who wait for the end of all requests.
+    /// Publishes the status, and replies to pending drains when no request is left.
     fn finish_iteration(&mut self) {
         let in_flight = self.admission.in_flight();
         self.counts.max_in_flight = self.counts.max_in_flight.max(in_flight);
@@ -386,7 +387,7 @@
     }
 }
 
-/// Sleeps until the instant, or for ever without one.
+/// Sleeps until the instant; never returns if there is none.
 async fn sleep_until(instant: Option<std::time::Instant>) {
     match instant {
         Some(instant) => tokio::time::sleep_until(instant.into()).await,
--- a/crates/teaseltrack-agent/src/requests/forward.rs
+++ b/crates/teaseltrack-agent/src/requests/forward.rs
@@ -1,8 +1,8 @@
-//! The request path's server: admit, forward to the target, stream the answer.
+//! Server of the request path: admits requests, forwards them to the target and streams responses.
 //!
-//! One task runs each admitted request and holds its slot. When the caller's deadline passes before
-//! the answer's head, the caller is told at once and the task waits on: the slot is freed only when
-//! the target answers or closes the connection.
+//! Each admitted request is handled by an async task that holds its slot. If the caller's deadline
+//! passes before the head of the response, the error is returned immediately but the task keeps
+//! waiting: the slot is freed only when the target responds or closes the connection.
 
 use std::{
     pin::pin,
@@ -38,31 +38,31 @@
     target_client::{TargetClient, TargetConnection},
 };
 
-/// Frames of an answer that may wait for the entry.
+/// Capacity of the channel of response frames to the entry.
 const RESPONSE_CHANNEL_CAPACITY: usize = 16;
-/// Time after the deadline for which the rest of an answer is read before the connection is closed.
+/// Time for which the rest of a late response is read before the connection is closed.
 const BODY_DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Advice on when to try again after the target couldn't be reached.
+/// Advised retry delay of refusals that don't come from admission control.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Server of the request path.
 #[derive(Clone)]
 pub struct ForwardServer {
-    /// Owner of the target's slots.
+    /// Handle to the task that allocates the target's slots.
     pub capacity: CapacityHandle,
-    /// Connections to the target.
+    /// Connection pool of the target.
     pub target: TargetClient,
     /// Clock.
     pub clock: SharedClock,
-    /// Spans.
+    /// Trace spans.
     pub spans: Spans,
     /// Metrics.
     pub metrics: Metrics,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
 }
 
-/// A clock that can stand in a struct with `Debug`.
+/// Wrapper of a clock that implements `Debug`.
 #[derive(Clone)]
 pub struct SharedClockDebug(pub SharedClock);
 
@@ -74,7 +74,7 @@
 
 type FrameSender = mpsc::Sender<Result<AnswerFrame, Status>>;
 
-/// A request as it was received whole.
+/// A completely received request.
 struct ReceivedRequest {
     head: RequestHead,
     body: Bytes,
@@ -133,7 +133,7 @@
         Ok(ReceivedRequest { head, body: body.into(), deadline })
     }
 
-    /// Runs a request to its end; the slot is held for as long as the target may work on it.
+    /// Handles a request; its slot is held for as long as the target may be working on it.
     async fn handle(self, received: ReceivedRequest, frames: FrameSender) {
         let request_id = received.head.request_id.clone();
         let span = self.spans.start("agent.request", non_empty(&received.head.traceparent));
@@ -155,7 +155,7 @@
         self.capacity.send(CapacityMessage::Release(permit, latency)).await;
     }
 
-    /// Waits for a slot; a caller that goes away while waiting gives its place up.
+    /// Waits for a slot; the request leaves the queue if its caller goes away.
     async fn admit(
         &self,
         received: &ReceivedRequest,
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Frees the slot of a request that was admitted while its caller went away.
+    /// Releases the slot of a request that was admitted just as its caller went away.
     async fn release_unclaimed(
         &self,
         mut admission: oneshot::Receiver<Result<Permit, AdmissionRefusal>>,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Forwards an admitted request; true if the target answered it whole.
+    /// Forwards an admitted request; returns whether the target's response was complete.
     async fn forward_admitted(
         &self,
         received: ReceivedRequest,
@@ -227,7 +227,7 @@
         let Ok(response) = timeout_at(deadline, sending.as_mut()).await else {
             let error = ForwardError::new(ErrorKind::AnswerLost, "no answer by the deadline");
             self.refuse(frames, &request_id, error).await;
-            // The target may still be working: the slot is kept until it says that it isn't.
+            // The target may still be working: hold the slot until it responds or disconnects.
             if let Ok((late, _)) = sending.await {
                 drain_body(late.into_body()).await;
             }
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Streams the target's answer; true if it was whole.
+    /// Streams the target's response; returns whether it was complete.
     async fn stream_response(
         &self,
         target_response: TargetResponse,
@@ -286,7 +286,7 @@
             if chunk.is_empty() {
                 continue;
             }
-            // A caller that doesn't read holds the slot no longer than its deadline.
+            // A caller that doesn't read the response must not block the slot past its deadline.
             let sending = send_frame(frames, answer_frame::Frame::Chunk(chunk));
             if timeout_at(deadline, sending).await.is_err() {
                 drain_body(body).await;
@@ -322,14 +322,14 @@
     }
 }
 
-/// The head of a target's answer.
+/// Response of the target, with its head received and its body pending.
 struct TargetResponse {
     request_id: String,
     response: Response<Incoming>,
     deadline: tokio::time::Instant,
 }
 
-/// Refuses an answer to another request, and one whose end can't be told from a cut.
+/// Rejects a response to another request, and a response whose framing can't reveal truncation.
 fn validate_response(request_id: &str, response: &Response<Incoming>) -> Result<(), ForwardError> {
     let echoed = response.headers().get(headers::REQUEST_ID);
     if echoed.is_some_and(|echoed| echoed.as_bytes() != request_id.as_bytes()) {
@@ -400,7 +400,7 @@
     frames.send(Ok(AnswerFrame { frame: Some(frame) })).await.ok();
 }
 
-/// Reads what is left of an answer, so that the target may end; gives up after a while.
+/// Reads the rest of a response so that the target can finish, for at most `BODY_DRAIN_TIMEOUT`.
 async fn drain_body(mut body: Incoming) {
     drop(
         timeout(BODY_DRAIN_TIMEOUT, async {
--- a/crates/teaseltrack-agent/src/requests/target_client.rs
+++ b/crates/teaseltrack-agent/src/requests/target_client.rs
@@ -1,4 +1,6 @@
-//! Connections to the target, and the proof of what wasn't sent.
+//! Connection pool of the target.
+//!
+//! Errors distinguish requests that were provably not sent from requests that may have run.
 
 use std::{
     net::SocketAddr,
@@ -21,7 +23,7 @@
     time::timeout,
 };
 
-/// Time to connect.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A connection to the target.
@@ -31,7 +33,7 @@
     sender: SendRequest<Full<Bytes>>,
 }
 
-/// Connections to the target that are free, and the bound on all of them.
+/// Pool of idle connections to the target, with a limit on all open connections.
 #[derive(Clone, Debug)]
 pub struct TargetClient {
     idle: Arc<Mutex<Vec<TargetConnection>>>,
@@ -40,23 +42,23 @@
 }
 
 impl TargetClient {
-    /// A client with at most `max_connections`.
+    /// Creates a pool with at most `max_connections` open connections.
     pub fn new(max_connections: u32) -> Self {
         let max_connections = max_connections as usize;
         let permits = Arc::new(Semaphore::new(max_connections));
         Self { idle: Arc::default(), permits, max_connections }
     }
 
-    /// Open connections, busy or free.
+    /// Number of open connections, in use or idle.
     pub fn open_connections(&self) -> usize {
         self.max_connections - self.permits.available_permits()
     }
 
-    /// A free connection, or a new one.
+    /// Returns an idle connection, or opens a new one.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unreachable`]: nothing was sent.
+    /// [`ErrorKind::Unreachable`]: no connection is available; nothing was sent.
     pub async fn connection(&self, address: SocketAddr) -> Result<TargetConnection, ErrorKind> {
         while let Some(mut connection) = self.take_idle() {
             let is_reusable =
@@ -71,12 +73,12 @@
         self.connect(address, permit).await
     }
 
-    /// Sends a request and waits for the head of the answer; the connection comes back with it.
+    /// Sends a request and waits for the head of the response; returns it with the connection.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unreachable`] proves that nothing was sent; [`ErrorKind::AnswerLost`] proves
-    /// nothing.
+    /// [`ErrorKind::Unreachable`] guarantees that nothing was sent. After
+    /// [`ErrorKind::AnswerLost`], the request may or may not have run.
     pub async fn send(
         &self,
         mut connection: TargetConnection,
@@ -91,7 +93,7 @@
         })
     }
 
-    /// Takes back a connection whose answer was read to the end.
+    /// Returns a connection to the pool after its response was read to the end.
     pub fn return_to_pool(&self, connection: TargetConnection) {
         if !connection.sender.is_closed() {
             self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(connection);
--- a/crates/teaseltrack-agent/src/tasks.rs
+++ b/crates/teaseltrack-agent/src/tasks.rs
@@ -1,8 +1,9 @@
-//! Tasks: run on the instance's worker under its lease, and decided on by the owners of job shards.
+//! Task execution on the instance's worker and scheduling by the owners of job shards.
 //!
-//! [`lease_keeper`] holds the instance's lease, [`attempts`] owns the room and the attempts that run
-//! here, [`reporter`] tells the shards' owners what happened. [`shard_manager`] decides which shards
-//! this agent owns, [`owner`] is the task of one owned shard and [`placer`] finds places for its tasks.
+//! [`lease_keeper`] renews the instance's lease, [`attempts`] manages the instance's resources and
+//! the attempts that run on it, and [`reporter`] reports their events to the owners of the shards.
+//! [`shard_manager`] decides which shards this agent owns, [`owner`] runs one owned shard, and
+//! [`placer`] assigns its tasks to instances.
 
 pub mod attempts;
 pub mod lease_keeper;
@@ -16,7 +17,7 @@
 
 use crate::tasks::{attempts::AttemptMessage, shard_manager::ShardMessage};
 
-/// Hands calls about tasks to the tasks that own the state.
+/// Dispatches control calls about tasks to the async tasks that own the state.
 pub async fn route_calls(
     mut calls: mpsc::Receiver<TaskCall>,
     attempts: Option<mpsc::Sender<AttemptMessage>>,
--- a/crates/teaseltrack-agent/src/tasks/attempts.rs
+++ b/crates/teaseltrack-agent/src/tasks/attempts.rs
@@ -1,7 +1,8 @@
-//! The task that owns the instance's room and the attempts on its worker.
+//! Async task that manages the instance's resources and the attempts on its worker.
 //!
-//! An attempt number is accepted once. Ends are reported to the shard's owner until they are committed
-//! and only then forgotten by the worker, so that an agent that starts anew learns them again.
+//! Each attempt number is accepted at most once. The end of an attempt is reported to the shard's
+//! owner until it is committed. Only then does the worker drop the attempt, so that a restarted
+//! agent finds unacknowledged ends again.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -39,50 +40,50 @@
     tasks::{lease_keeper::LeaseView, reporter::ReportMessage},
 };
 
-/// Messages that may wait for the task.
+/// Capacity of the task's message channel.
 pub const CHANNEL_CAPACITY: usize = 1_024;
-/// Time between looks at the worker.
+/// Interval between syncs with the worker.
 const SYNC_PERIOD: Duration = Duration::from_millis(100);
-/// Time for which room is held before its start comes.
+/// Time after which a reservation without a start order expires.
 const RESERVATION_TTL: Duration = Duration::from_secs(10);
-/// Time for which an accepted attempt is remembered after its end.
+/// Time for which the number of an ended attempt is kept, so that a repeated start is ignored.
 const ACCEPTED_TTL: Duration = Duration::from_secs(3_600);
 
 /// A message to the task.
 #[derive(Debug)]
 pub enum AttemptMessage {
-    /// Room is asked for.
+    /// Reserve capacity.
     Reserve(Vec<ReservationRequest>, oneshot::Sender<Result<ReservationResponse, ErrorKind>>),
-    /// Committed assignments are to start.
+    /// Start attempts of committed assignments.
     Start(ShardOwner, Vec<StartOrder>, oneshot::Sender<Result<(), ErrorKind>>),
-    /// Attempts are to stop.
+    /// Stop attempts.
     Stop(ShardOwner, Vec<StopOrder>, oneshot::Sender<Result<(), ErrorKind>>),
-    /// The end of an attempt is committed.
+    /// The ends of attempts are committed.
     Acknowledged(Vec<AttemptKey>),
-    /// A checkpoint is stored.
+    /// The checkpoint of a stopped attempt is stored; with its key and the reason of the stop.
     Checkpointed(AttemptKey, String, String),
-    /// The agent stops: all attempts are evicted; answered when their ends are committed.
+    /// Evict all attempts before shutdown; the reply is sent when their ends are committed.
     Drain(oneshot::Sender<()>),
 }
 
 /// Counts for the status report.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptStatus {
-    /// Attempts that hold room.
+    /// Attempts that occupy capacity.
     pub running: u64,
     /// Attempts started so far.
     pub started: u64,
     /// Attempts evicted so far.
     pub evicted: u64,
-    /// Room that is left.
+    /// Free capacity.
     pub available: Resources,
-    /// Share of its full speed at which batch work runs.
+    /// Fraction of full speed at which batch work runs.
     pub share: f64,
 }
 
-/// What the task needs.
+/// Dependencies of the task.
 pub struct AttemptContext {
-    /// Logs.
+    /// Logger.
     pub logger: Logger,
     /// Clock.
     pub clock: SharedClock,
@@ -94,17 +95,17 @@
     pub capacity: Resources,
     /// The instance's lease.
     pub lease: watch::Receiver<Option<LeaseView>>,
-    /// The target's load, for the reflex that throttles batch work.
+    /// Handle to the target's latency ratio, by which batch work is throttled.
     pub requests: CapacityHandle,
-    /// Takes reports.
+    /// Sender of reports.
     pub reports: mpsc::Sender<ReportMessage>,
-    /// Gets the counts.
+    /// Publishes the status.
     pub status: watch::Sender<AttemptStatus>,
-    /// The task's own inbox, for what it waits for.
+    /// Sender to the task itself, for the completion of background work.
     pub sender: mpsc::Sender<AttemptMessage>,
 }
 
-/// Owner of the instance's room and attempts.
+/// Manager of the instance's resources and attempts.
 pub struct Attempts {
     context: AttemptContext,
     ledger: ReservationLedger,
@@ -113,7 +114,7 @@
     reported_started: BTreeSet<AttemptKey>,
     ended: BTreeSet<AttemptKey>,
     stopping: BTreeMap<AttemptKey, StopCause>,
-    /// Stopped attempts whose checkpoint is on its way to the store.
+    /// Stopped attempts whose checkpoint is being uploaded to the store.
     uploading: BTreeSet<AttemptKey>,
     accepted: BTreeMap<TaskId, (AttemptNumber, Instant)>,
     forget: Vec<AttemptKey>,
@@ -124,7 +125,7 @@
 }
 
 impl Attempts {
-    /// An instance without attempts; those on the worker are taken in with the first look at it.
+    /// Creates a manager without attempts; those on the worker are adopted by the first sync.
     pub fn new(context: AttemptContext) -> Self {
         Self {
             ledger: ReservationLedger::new(context.capacity),
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Runs until all senders are gone.
+    /// Runs until all senders are dropped.
     pub async fn run(mut self, mut receiver: mpsc::Receiver<AttemptMessage>) {
         let mut ticks = interval(SYNC_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -166,7 +167,7 @@
                 reply.send(Ok(self.reserve(&requests))).ok();
             }
             AttemptMessage::Start(owner, orders, reply) => {
-                debug!(self.context.logger, "starts ordered"; "shard" => owner.shard);
+                debug!(self.context.logger, "received start orders"; "shard" => owner.shard);
                 reply.send(self.start_all(orders).await).ok();
             }
             AttemptMessage::Stop(_, orders, reply) => {
@@ -226,8 +227,10 @@
         }
     }
 
-    /// The incarnation whose attempts are all known here; an agent that has just started, or whose
-    /// lease has just changed, doesn't know yet what its worker runs and can tell nothing of attempts.
+    /// The incarnation of the lease, if the worker was synced under it; an error otherwise.
+    ///
+    /// An agent that has just started, or whose lease has just changed, doesn't know yet which
+    /// attempts its worker runs, and so can't handle orders for them.
     fn require_synced(&self) -> Result<Incarnation, ErrorKind> {
         let held = self.lease().map(|lease| lease.incarnation);
         self.synced_incarnation.filter(|synced| held == Some(*synced)).ok_or(ErrorKind::Draining)
@@ -252,7 +255,7 @@
         Ok(())
     }
 
-    /// Starts a committed attempt once, or reports why it won't ever start here.
+    /// Starts a committed attempt once, or reports why it will never start on this instance.
     async fn start(&mut self, order: StartOrder, synced: Incarnation) {
         let StartOrder { task, attempt, incarnation, spec, checkpoint } = order;
         let now = self.context.clock.now();
@@ -292,7 +295,7 @@
         self.running.insert(key.clone());
         self.status.started += 1;
         if let Err(error) = self.context.worker.start(call).await {
-            warn!(self.context.logger, "worker start unanswered"; "task" => %key.task,
+            warn!(self.context.logger, "worker did not confirm the start"; "task" => %key.task,
                 "attempt" => attempt, "error" => %error);
         }
     }
@@ -318,7 +321,7 @@
         self.try_stop(key, cause).await;
     }
 
-    /// Stops an attempt on the worker; tried again with the next look at it if there is no answer.
+    /// Stops an attempt on the worker; the next sync retries if there is no response.
     async fn try_stop(&mut self, key: AttemptKey, cause: StopCause) {
         let is_checkpointed = cause == StopCause::Evict;
         let Ok(response) = self.context.worker.stop(key.clone(), is_checkpointed).await else {
@@ -337,7 +340,7 @@
         }
     }
 
-    /// Stores a checkpoint, however long the store is down; the worker keeps it until then.
+    /// Uploads a checkpoint, retrying until the store accepts it; the worker keeps it until then.
     fn store_checkpoint(&mut self, key: AttemptKey, content: String) {
         self.uploading.insert(key.clone());
         let store = self.context.store.clone();
@@ -371,17 +374,17 @@
                 self.process_sync(response).await;
             }
             Err(error) => {
-                debug!(self.context.logger, "worker unanswered"; "error" => %error);
+                debug!(self.context.logger, "worker sync failed"; "error" => %error);
                 self.forget.extend(forget);
             }
         }
         self.prune();
     }
 
-    /// Forgets everything of an incarnation that is over; the worker drops it with the next sync.
+    /// Discards the attempts of an ended incarnation; the worker drops them with the next sync.
     fn discard_attempts(&mut self) {
         if !self.running.is_empty() {
-            warn!(self.context.logger, "lease changed, attempts dropped";
+            warn!(self.context.logger, "lease changed; discarding attempts";
                 "count" => self.running.len());
         }
         for key in std::mem::take(&mut self.running) {
@@ -404,7 +407,8 @@
             self.process_attempt(attempt).await;
         }
         let missing: Vec<AttemptKey> = self.running.difference(&listed).cloned().collect();
-        // A start may still be on its way: the worker is told to stop it, which it remembers.
+        // A start request may still be in transit. The worker remembers a stop and refuses a later
+        // start of the same attempt.
         for key in missing {
             self.stopping.entry(key).or_insert(StopCause::Evict);
         }
@@ -433,7 +437,7 @@
         }
     }
 
-    /// Takes in an attempt that an earlier agent process started.
+    /// Adopts an attempt that an earlier agent process started.
     fn adopt(&mut self, key: &AttemptKey, resources: Resources) {
         if !self.running.insert(key.clone()) {
             return;
@@ -444,11 +448,13 @@
             self.ledger.reserve(&key.task, key.attempt, resources, now + RESERVATION_TTL)
                 && self.ledger.confirm(&key.task, key.attempt);
         if !is_reserved {
-            warn!(self.context.logger, "adopted attempt doesn't fit"; "task" => %key.task);
+            warn!(self.context.logger, "adopted attempt exceeds the free capacity";
+                "task" => %key.task);
         }
     }
 
-    /// An attempt that an earlier agent process stopped, or whose checkpoint is being stored.
+    /// Handles a stopped attempt: one that this process stopped is ignored, and one that an earlier
+    /// agent process stopped is stopped again, so that its checkpoint is stored.
     async fn adopt_stopped(&mut self, key: AttemptKey) {
         let is_known =
             self.accepted.get(&key.task).is_some_and(|(accepted, _)| *accepted >= key.attempt);
--- a/crates/teaseltrack-agent/src/tasks/lease_keeper.rs
+++ b/crates/teaseltrack-agent/src/tasks/lease_keeper.rs
@@ -1,9 +1,9 @@
-//! Keeps the instance's lease.
+//! Acquires and renews the instance's lease.
 //!
-//! The lease belongs to the instance, not to the process: a new agent process takes it on if the
-//! worker still runs under it, and begins a new incarnation if not. When a renewal finds the row
-//! changed, either a taker marked it as lapsed, and a new incarnation begins, or a newer agent process
-//! holds it, and this one gives up its tasks.
+//! The lease belongs to the instance, not to the process: a new agent process adopts it if the
+//! worker still runs under it, and starts a new incarnation otherwise. If a renewal finds the row
+//! changed, either an observer marked it as lapsed, and a new incarnation starts, or a newer agent
+//! process holds it, and this one abandons its tasks.
 
 use std::time::{Duration, Instant};
 
@@ -25,26 +25,26 @@
     time::sleep,
 };
 
-/// Least wait after a failed call to the store.
+/// Minimum backoff after a failed call to the store.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest wait after a failed call to the store.
+/// Maximum backoff after a failed call to the store.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Least share of the renewal period between two renewals.
+/// Minimum interval between two renewals, as a fraction of the renewal period.
 const MIN_RENEWAL_PERIOD_FRACTION: f64 = 0.8;
 
-/// The lease as the instance's other tasks see it.
+/// The lease as published to the agent's other async tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseView {
     /// Incarnation of the lease.
     pub incarnation: Incarnation,
-    /// Instant at which the work must have stopped.
+    /// Time by which all work under the lease must have stopped.
     pub deadline: Instant,
 }
 
-/// What the keeper needs.
+/// Keeps the instance's lease for one agent process.
 pub struct LeaseKeeper {
-    /// Logs.
+    /// Logger.
     pub logger: Logger,
     /// The store.
     pub store: Store,
@@ -52,15 +52,15 @@
     pub clock: SharedClock,
     /// The instance.
     pub instance: String,
-    /// Number of this process.
+    /// Incarnation of this agent process.
     pub holder: Incarnation,
-    /// Length of the lease.
+    /// Duration of the lease.
     pub ttl: Duration,
-    /// Gets the lease; `None` while there is none.
+    /// Publishes the lease; `None` while there is none.
     pub view: watch::Sender<Option<LeaseView>>,
 }
 
-/// A row that was written, with its version.
+/// The lease row as committed by this process, with its version.
 struct WrittenLease {
     row: LeaseRow,
     version: u64,
@@ -68,15 +68,17 @@
 }
 
 impl LeaseKeeper {
-    /// Holds the lease until asked to release it; `adopted` is the incarnation under which the worker
-    /// runs already. Ends early when a newer process holds the instance.
+    /// Holds the lease until `release` is received, or until a newer process holds the instance.
+    ///
+    /// `adopted_incarnation` is the incarnation under which the worker is already running.
     pub async fn run(
         self,
         adopted_incarnation: Option<Incarnation>,
         mut release: oneshot::Receiver<oneshot::Sender<()>>,
     ) {
         let Some(mut held) = self.acquire(adopted_incarnation).await else { return };
-        // Instances that start together don't renew together.
+        // The first interval is fully random, so that instances started together renew at different
+        // times.
         let mut min_fraction = 0.0;
         loop {
             self.publish(&held);
@@ -103,22 +105,22 @@
         self.view.send_replace(Some(LeaseView { incarnation, deadline }));
     }
 
-    /// Writes the row for this process; `None` if a newer process holds the instance.
+    /// Acquires the lease for this process; `None` if a newer process holds the instance.
     async fn acquire(&self, adopted_incarnation: Option<Incarnation>) -> Option<WrittenLease> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             match self.try_acquire(adopted_incarnation).await {
                 Ok(AcquireOutcome::Held(written)) => {
-                    info!(self.logger, "lease held"; "incarnation" => written.row.incarnation);
+                    info!(self.logger, "lease acquired"; "incarnation" => written.row.incarnation);
                     return Some(written);
                 }
                 Ok(AcquireOutcome::Superseded) => {
-                    warn!(self.logger, "a newer process holds the instance");
+                    warn!(self.logger, "lease is held by a newer agent process");
                     self.view.send_replace(None);
                     return None;
                 }
                 Ok(AcquireOutcome::Contended) => {}
-                Err(error) => warn!(self.logger, "lease not written"; "error" => %error),
+                Err(error) => warn!(self.logger, "failed to acquire the lease"; "error" => %error),
             }
             let wait = backoff.after_failure(&mut rand::rng());
             sleep(wait).await;
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Renews until the store answers; `None` if a newer process holds the instance.
+    /// Renews the lease, retrying until the store responds; `None` if a newer process holds the
+    /// instance.
     async fn renew(&self, mut held: WrittenLease) -> Option<WrittenLease> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         let row = self.row(held.row.incarnation, LeaseState::Held);
@@ -169,13 +172,13 @@
                     return Some(WrittenLease { row, version, lease: held.lease });
                 }
                 Ok(CommitOutcome::Conflict { .. }) => break,
-                Err(error) => warn!(self.logger, "lease not renewed"; "error" => %error),
+                Err(error) => warn!(self.logger, "failed to renew the lease"; "error" => %error),
             }
             let wait = backoff.after_failure(&mut rand::rng());
             sleep(wait).await;
         }
-        // The row changed: by an earlier try of this renewal whose answer was lost, by a taker, or by
-        // a newer process. Acquiring anew tells which.
+        // The row was changed by an earlier try of this renewal whose response was lost, by an
+        // observer, or by a newer process. Acquiring the lease again distinguishes these cases.
         let adopted_incarnation = self.own_incarnation(&row).await;
         if adopted_incarnation.is_none() {
             warn!(self.logger, "lease lost"; "incarnation" => row.incarnation);
@@ -183,7 +186,7 @@
         self.acquire(adopted_incarnation).await
     }
 
-    /// The incarnation, if the row is still this process's own.
+    /// The incarnation of `row`, if the stored lease is still held by this process under it.
     async fn own_incarnation(&self, row: &LeaseRow) -> Option<Incarnation> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
@@ -201,7 +204,7 @@
     async fn release(&self, held: WrittenLease) {
         let row = self.row(held.row.incarnation, LeaseState::Released);
         if let Err(error) = self.write(&row, held.version).await {
-            warn!(self.logger, "lease not released"; "error" => %error);
+            warn!(self.logger, "failed to release the lease"; "error" => %error);
         }
         self.view.send_replace(None);
     }
--- a/crates/teaseltrack-agent/src/tasks/owner.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner.rs
@@ -1,9 +1,10 @@
-//! The owner of one job shard.
+//! Owner of one job shard.
 //!
-//! A round takes in commands and reports, finds places, commits all decisions in one transaction and
-//! only then acts on them: starts and stops are sent, reports acknowledged. While a commit is under
-//! way the next round's work gathers, so that the store sees one write a round however many tasks
-//! start. An owner whose head has moved has lost the shard and forgets all it knew.
+//! A round processes commands and reports, places tasks, commits all decisions in one transaction
+//! and only then acts on them: it sends starts and stops and acknowledges reports. Messages that
+//! arrive during a commit are batched into the next round, so that there is one write to the store
+//! per round regardless of how many tasks start. If the head of the stream was changed by another
+//! process, the shard is lost and its state is discarded.
 
 mod leases;
 mod orders;
@@ -44,28 +45,28 @@
 
 use crate::tasks::{owner::orders::Orders, placer::Placer};
 
-/// Time between rounds without a message.
+/// Interval between rounds without a message.
 const TICK_PERIOD: Duration = Duration::from_millis(250);
-/// Ticks between looks at the inbox without a wake-up.
+/// Ticks between reads of the inbox without a wake-up.
 const INBOX_TICKS: u32 = 4;
-/// Ticks between looks around for room and at suspicious leases.
+/// Ticks between refreshes of the capacity hints, checks of leases and archiving.
 const MAINTENANCE_TICKS: u32 = 4;
-/// Ticks between looks at the shard's head.
+/// Ticks between checks of the shard's head.
 const HEAD_CHECK_TICKS: u32 = 20;
-/// Ticks between repetitions of all starts whose end isn't known.
+/// Ticks between resends of the starts of all placed attempts.
 const RESEND_TICKS: u32 = 40;
-/// Messages taken into one round.
+/// Maximum number of messages that a round processes after its first one.
 const MAX_ROUND_MESSAGES: usize = 512;
-/// Attempts of a task that may fail before it is given up.
+/// Number of failed attempts after which a task fails, unless the last instance is on probation.
 const MAX_FAILURES: u32 = 3;
-/// Time for the store to take the shard back in a planned stop.
+/// Time for which releasing the shard is retried in a graceful shutdown.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait before a shard is read again when the store doesn't answer.
+/// Delay before a shard is read again after a failed read.
 const LOAD_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What all owners of an agent share.
+/// Dependencies shared by all owners of an agent.
 pub struct OwnerContext {
-    /// Logs.
+    /// Logger.
     pub logger: Logger,
     /// Metrics.
     pub metrics: Metrics,
@@ -77,32 +78,32 @@
     pub node: NodeHandle,
     /// Clients of control calls.
     pub clients: ControlClients,
-    /// This agent as an owner.
+    /// This agent, as written into the heads of its shards.
     pub owner: Owner,
 }
 
 /// A message to an owner.
 #[derive(Debug)]
 pub enum OwnerMessage {
-    /// The inbox holds something new.
+    /// The inbox has new commands.
     Wake,
-    /// An agent reports events; answered after they are committed.
+    /// An agent reports events; the reply is sent after they are committed.
     Report(ReportBatch, oneshot::Sender<Result<(), ErrorKind>>),
-    /// The agent stops.
+    /// Release the shard, since the agent shuts down.
     Release,
 }
 
-/// What an owner's task begins with.
+/// Parameters of an owner's async task.
 pub struct ShardOwnerTask {
     /// The shard.
     pub shard: ShardNumber,
-    /// What all owners share.
+    /// Dependencies shared by all owners.
     pub context: Arc<OwnerContext>,
-    /// Messages.
+    /// Receiver of messages.
     pub receiver: mpsc::Receiver<OwnerMessage>,
 }
 
-/// What one round gathers before it commits.
+/// Work of one round, collected before its commit.
 #[derive(Default)]
 struct Round {
     decisions: Vec<Decision>,
@@ -111,7 +112,7 @@
     stops: BTreeMap<InstanceId, Vec<StopOrder>>,
     replies: Vec<oneshot::Sender<Result<(), ErrorKind>>>,
     is_releasing: bool,
-    /// Whether the round began with a tick, not with a message.
+    /// Whether the round was triggered by a tick rather than by a message.
     is_tick: bool,
 }
 
@@ -128,18 +129,18 @@
     preempted_at: Option<Instant>,
     is_inbox_due: bool,
     tick: u32,
-    /// Ends the sending of orders when the shard is lost.
+    /// Cancels the sending of orders when the shard is lost or released.
     orders_cancellation: CancellationToken,
-    /// Cancels `orders` with the shard.
+    /// Cancels `orders_cancellation` when the shard is dropped.
     _orders_guard: DropGuard,
 }
 
-/// Takes the shard and owns it until it is lost or given up.
+/// Acquires the shard and owns it until it is lost or released.
 pub async fn run_owner(task: ShardOwnerTask) {
     let ShardOwnerTask { shard, context, mut receiver } = task;
     let logger = context.logger.clone();
     let Some(mut owned) = OwnedShard::acquire(shard, context).await else {
-        info!(logger, "shard taken by another"; "shard" => shard);
+        info!(logger, "shard not acquired"; "shard" => shard);
         return;
     };
     owned.resend_starts();
@@ -163,7 +164,7 @@
         }
         let is_releasing = round.is_releasing;
         if owned.run_round(round).await.is_err() {
-            warn!(logger, "shard lost"; "shard" => shard);
+            warn!(logger, "shard ownership lost"; "shard" => shard);
             return;
         }
         if is_releasing {
@@ -174,7 +175,8 @@
 }
 
 impl OwnedShard {
-    /// Writes this agent into the shard's head and reads the state; `None` if another was faster.
+    /// Writes this agent into the shard's head and loads the state; `None` if the write failed,
+    /// usually because another agent wrote first.
     async fn acquire(shard: ShardNumber, context: Arc<OwnerContext>) -> Option<Self> {
         let name = stream_of(shard);
         let mut stream = loop {
@@ -201,12 +203,13 @@
             match load_shard(&context.store, shard).await {
                 Ok(loaded) => break loaded,
                 Err(error) => {
-                    warn!(context.logger, "shard not read"; "shard" => shard, "error" => %error);
+                    warn!(context.logger, "failed to load the shard"; "shard" => shard,
+                        "error" => %error);
                     sleep(LOAD_RETRY_DELAY).await;
                 }
             }
         };
-        info!(context.logger, "shard owned"; "shard" => shard, "epoch" => stream.head().epoch,
+        info!(context.logger, "shard acquired"; "shard" => shard, "epoch" => stream.head().epoch,
             "jobs" => loaded.state.jobs().len(), "entries" => loaded.sequence);
         let orders_cancellation = CancellationToken::new();
         let placer = Placer::new(context.node.clone(), context.clients.clone());
@@ -241,7 +244,8 @@
         }
     }
 
-    /// Turns a report into a decision; one about another attempt than the current changes nothing.
+    /// Converts a report into a decision; a report about an attempt other than the current one is
+    /// ignored.
     fn handle_report(&mut self, instance: &str, report: AttemptReport, round: &mut Round) {
         let AttemptReport { task, attempt, event } = report;
         let is_current = self.state.task(&task).is_some_and(|current| {
@@ -249,7 +253,7 @@
                 && current.state.placement().is_some_and(|placement| placement.instance == instance)
         });
         if !is_current {
-            // An attempt that runs although the shard knows better isn't wanted there.
+            // The attempt isn't the current one, so stop it.
             if event == AttemptEvent::Started {
                 let order = StopOrder { task, attempt, cause: StopCause::Cancel };
                 round.stops.entry(instance.to_owned()).or_default().push(order);
@@ -278,7 +282,7 @@
         self.decide(decision, round);
     }
 
-    /// Applies a decision that is about to be committed; nobody learns of it before it is.
+    /// Applies a decision to the state before its commit; it has no external effect until then.
     fn decide(&mut self, decision: Decision, round: &mut Round) {
         if self.state.apply(&decision).is_ok() {
             round.decisions.push(decision);
@@ -325,13 +329,13 @@
                 round.writes.extend(keys.into_iter().map(Write::delete));
             }
             Err(error) => {
-                warn!(self.context.logger, "inbox not read"; "shard" => self.shard,
+                warn!(self.context.logger, "failed to read the inbox"; "shard" => self.shard,
                     "error" => %error);
             }
         }
     }
 
-    /// Notes the attempts that a command ends.
+    /// Queues stop orders for the attempts that a command ends.
     fn queue_stops(&self, decision: &Decision, round: &mut Round) {
         let (job, kept) = match decision {
             Decision::JobCancelled { job, .. } => (job, 0),
@@ -394,7 +398,7 @@
         }
     }
 
-    /// Ends an owner that another has replaced, which it would else learn only with its next commit.
+    /// Detects that another agent has replaced this owner, without waiting for the next commit.
     async fn check_head(&self) -> Result<(), ShardLost> {
         let Ok(row) = self.context.store.read(&keys::head(self.stream.name())).await else {
             return Ok(());
@@ -403,14 +407,14 @@
         if is_own { Ok(()) } else { Err(ShardLost) }
     }
 
-    /// Writes a snapshot and moves a segment of the journal, when there is a whole one.
+    /// Writes a snapshot and archives a segment of the journal, if a full segment is available.
     async fn archive(&mut self) {
         let sequence = self.stream.head().sequence;
         if sequence < self.archive.mark.through_sequence + SEGMENT_ENTRIES {
             return;
         }
         if let Err(error) = self.try_archive(sequence).await {
-            warn!(self.context.logger, "journal not archived"; "shard" => self.shard,
+            warn!(self.context.logger, "failed to archive the journal"; "shard" => self.shard,
                 "error" => %error);
         }
     }
@@ -424,14 +428,14 @@
         Ok(())
     }
 
-    /// Writes into the head that the shard has no owner.
+    /// Releases the shard by removing its owner from the head.
     async fn release(&mut self) {
         let body =
             EntryBody::Ownership { owner: None, reason: "planned stop of the owner".to_owned() };
         let mut append = self.append(body, None, Vec::new(), Vec::new());
         append.retry_deadline = Some(self.context.clock.now() + RELEASE_TIMEOUT);
         let appended = self.stream.append(&self.context.store, &self.context.clock, append).await;
-        info!(self.context.logger, "shard given up"; "shard" => self.shard,
+        info!(self.context.logger, "shard released"; "shard" => self.shard,
             "committed" => matches!(appended, Ok(AppendOutcome::Committed(_))));
     }
 }
--- a/crates/teaseltrack-agent/src/tasks/owner/leases.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/leases.rs
@@ -1,4 +1,4 @@
-//! Taking attempts back from instances whose lease is over.
+//! Reclaiming attempts from instances whose lease has ended.
 
 use std::{
     collections::BTreeSet,
@@ -20,11 +20,12 @@
 
 use crate::tasks::owner::{OwnedShard, ShardLost};
 
-/// Leases that are read one by one; more are read by listing all.
+/// Maximum number of leases read individually; a larger number is read by listing all leases.
 const MAX_SINGLE_READS: usize = 8;
 
 impl OwnedShard {
-    /// Takes back the attempts of instances whose lease has lapsed or begun anew.
+    /// Reclaims the attempts of instances whose lease was released, has lapsed or has a new
+    /// incarnation.
     pub(super) async fn check_leases(&mut self) -> Result<(), ShardLost> {
         let members = self.context.node.members();
         let present: BTreeSet<&str> =
@@ -46,7 +47,7 @@
         Ok(())
     }
 
-    /// Leases of the instances: a few are read one by one, many by listing all.
+    /// Reads the leases of the instances.
     async fn read_leases(&self, instances: &[InstanceId]) -> Result<Vec<Row>, StoreError> {
         let keys: BTreeSet<String> =
             instances.iter().map(|instance| keys::lease(instance)).collect();
@@ -96,7 +97,8 @@
         self.reclaim(lost, &row, lease, is_lapsed).await
     }
 
-    /// Commits that attempts are lost, together with the mark that their lease has lapsed.
+    /// Commits the release of lost attempts and, if their lease has lapsed, marks it in the same
+    /// transaction.
     async fn reclaim(
         &mut self,
         lost: Vec<(TaskId, u32)>,
@@ -104,7 +106,7 @@
         lease: LeaseRow,
         is_lapsed: bool,
     ) -> Result<(), ShardLost> {
-        warn!(self.context.logger, "taking tasks back"; "instance" => &lease.instance,
+        warn!(self.context.logger, "reclaiming tasks"; "instance" => &lease.instance,
             "incarnation" => lease.incarnation, "count" => lost.len(), "lapsed" => is_lapsed);
         let conditions = vec![Condition { key: row.key.clone(), version: row.version }];
         let mut writes = Vec::new();
@@ -124,11 +126,11 @@
             Ok(AppendOutcome::Committed(_)) => {
                 for decision in &decisions {
                     let applied = self.state.apply(decision);
-                    assert!(applied.is_ok(), "committed decision doesn't apply: {applied:?}");
+                    assert!(applied.is_ok(), "committed decision can't be applied: {applied:?}");
                 }
                 Ok(())
             }
-            // The holder renewed in time: its tasks stay where they are.
+            // The lease row changed concurrently, normally by a renewal: the tasks stay placed.
             Ok(AppendOutcome::Conflict { .. }) => {
                 self.lease_watches.remove(&lease.instance);
                 Ok(())
--- a/crates/teaseltrack-agent/src/tasks/owner/orders.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/orders.rs
@@ -1,4 +1,4 @@
-//! Sending starts and stops to agents, after they are committed.
+//! Sending start and stop orders to agents after their decisions are committed.
 
 use std::{
     collections::BTreeMap,
@@ -20,18 +20,19 @@
 
 use crate::tasks::owner::OwnedShard;
 
-/// Time for an agent to take orders.
+/// Timeout for an agent to accept orders.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait before orders are sent again.
+/// Delay before orders are sent again.
 const ORDER_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Time after which attempts that an unreachable agent should stop are left to their lease.
+/// Time after which stop orders to an unreachable agent are abandoned, and the attempts are left to
+/// end with the instance's lease.
 const STOP_RETRY_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Orders to one agent.
 pub(super) enum Orders {
-    /// Committed assignments are to start.
+    /// Start attempts of committed assignments.
     Start(Vec<StartOrder>),
-    /// Attempts are to stop.
+    /// Stop attempts.
     Stop(Vec<StopOrder>),
 }
 
@@ -49,10 +50,11 @@
         }
     }
 
-    /// Sends the starts of all placed attempts again.
+    /// Resends the starts of all placed attempts.
     ///
-    /// An earlier owner may not have sent them, and an agent whose process was replaced may have taken
-    /// them without its worker ever hearing of them. An agent that knows an attempt ignores its start.
+    /// An earlier owner may have failed to send them, and an agent process that was replaced may
+    /// have accepted them without starting them on its worker. An agent ignores the start of an
+    /// attempt that it has already accepted.
     pub(super) fn resend_starts(&self) {
         let instances: Vec<InstanceId> = self.state.instances().cloned().collect();
         for instance in instances {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// The order for a task that is assigned or running.
+    /// The start order of a task that is assigned or running.
     fn start_order(&self, id: &TaskId) -> Option<StartOrder> {
         let job = self.state.jobs().get(&id.job)?;
         let task = self.state.task(id)?;
@@ -78,7 +80,8 @@
         })
     }
 
-    /// Sends orders until the agent has taken them, the instance is gone or the shard is lost.
+    /// Sends orders repeatedly until the agent accepts them or the shard is lost or released; stop
+    /// orders also expire.
     pub(super) fn send_orders(&self, instance: InstanceId, orders: Orders) {
         let owner = ShardOwner {
             shard: self.shard,
--- a/crates/teaseltrack-agent/src/tasks/owner/placement.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/placement.rs
@@ -1,4 +1,4 @@
-//! Places for waiting tasks: asked for, made by eviction, or found to be impossible.
+//! Placement of waiting tasks, eviction for urgent tasks, and parking of infeasible tasks.
 
 use std::{
     collections::BTreeMap,
@@ -15,9 +15,9 @@
 
 use crate::tasks::owner::{OwnedShard, Round};
 
-/// Ticks between looks at parked tasks.
+/// Ticks between checks whether parked tasks have become feasible.
 const UNPARK_TICKS: u32 = 40;
-/// Wait between evictions for the sake of urgent tasks.
+/// Minimum interval between evictions for urgent tasks.
 const PREEMPTION_COOLDOWN: Duration = Duration::from_secs(1);
 
 impl OwnedShard {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Evicts background attempts from one instance, so that an urgent task finds room there.
+    /// Evicts attempts that aren't urgent from one instance, so that an urgent task fits there.
     fn preempt(&mut self, urgent: &TaskId, now: Instant, round: &mut Round) {
         let is_too_soon =
             self.preempted_at.is_some_and(|at| now.duration_since(at) < PREEMPTION_COOLDOWN);
@@ -84,14 +84,15 @@
             self.victims(instance, &needed).map(|orders| (instance.clone(), orders))
         });
         if let Some((instance, orders)) = victims {
-            info!(self.context.logger, "evicting for an urgent task"; "task" => %urgent,
+            info!(self.context.logger, "evicting attempts for an urgent task"; "task" => %urgent,
                 "instance" => &instance, "count" => orders.len());
             self.preempted_at = Some(now);
             round.stops.entry(instance).or_default().extend(orders);
         }
     }
 
-    /// Background attempts on an instance that together hold what is needed.
+    /// Stop orders for attempts on an instance that aren't urgent and together free the needed
+    /// resources; `None` if they don't free enough.
     fn victims(&self, instance: &str, needed: &Resources) -> Option<Vec<StopOrder>> {
         let mut freed = Resources::default();
         let mut orders = Vec::new();
--- a/crates/teaseltrack-agent/src/tasks/placer.rs
+++ b/crates/teaseltrack-agent/src/tasks/placer.rs
@@ -1,4 +1,6 @@
-//! Finds places for a shard's waiting tasks: asks agents for room, before anything is committed.
+//! Assigns a shard's waiting tasks to instances by reserving capacity at their agents.
+//!
+//! A reservation is made before the assignment is committed.
 
 use std::{
     collections::BTreeMap,
@@ -22,18 +24,18 @@
 };
 use teaseltrack_wire::control::{ReservationRequest, ReservationResponse};
 
-/// Time for an agent to answer.
+/// Timeout of a reservation call.
 const RESERVATION_TIMEOUT: Duration = Duration::from_millis(300);
-/// Tasks placed in one round.
+/// Maximum number of tasks placed per round.
 const MAX_ROUND_TASKS: usize = 500;
-/// Agents asked for their room in one look around.
+/// Number of agents queried by one refresh of the capacity hints.
 const REFRESH_AGENTS: usize = 8;
-/// Agents asked for their room while none is known.
+/// Number of agents queried while there are no capacity hints.
 const INITIAL_REFRESH_AGENTS: usize = 32;
-/// Time for which an agent that didn't answer is left out.
+/// Time for which an agent that didn't respond is excluded.
 const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_secs(2);
 
-/// Finds places for the tasks of one shard.
+/// Assigns the tasks of one shard to instances.
 pub struct Placer {
     node: NodeHandle,
     clients: ControlClients,
@@ -43,12 +45,12 @@
     incarnations: BTreeMap<InstanceId, Incarnation>,
 }
 
-/// What a round of placing found.
+/// Result of a placement round.
 #[derive(Debug, Default)]
 pub struct PlacementResult {
-    /// Assignments that got room.
+    /// Assignments with reserved capacity.
     pub decisions: Vec<Decision>,
-    /// Urgent tasks for which no instance has room.
+    /// Urgent tasks for which no known instance has enough free capacity.
     pub urgent_unplaced: Vec<TaskId>,
 }
 
@@ -58,7 +60,7 @@
 }
 
 impl Placer {
-    /// Knows no room yet.
+    /// Creates a placer without capacity hints.
     pub fn new(node: NodeHandle, clients: ControlClients) -> Self {
         Self {
             node,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Takes in what an agent reported.
+    /// Records the capacity and the lease incarnation that an agent reported.
     pub fn record_report(
         &mut self,
         instance: &str,
@@ -82,12 +84,12 @@
         self.incarnations.insert(instance.to_owned(), incarnation);
     }
 
-    /// The incarnation of an instance's lease, as last heard.
+    /// Last reported incarnation of an instance's lease.
     pub fn incarnation(&self, instance: &str) -> Option<Incarnation> {
         self.incarnations.get(instance).copied()
     }
 
-    /// Counts a task that ended on an instance.
+    /// Records the end of an attempt on an instance, for its probation.
     pub fn record_end(&mut self, instance: &str, job: &str, is_success: bool, now: Instant) {
         if is_success {
             self.probation.record_success(instance, job);
@@ -101,12 +103,12 @@
         self.probation.is_on_probation(instance, now)
     }
 
-    /// Whether any known instance could hold the task when empty; true while none is known.
+    /// Whether an idle known instance could run the task; true while no instance is known.
     pub fn is_feasible(&self, resources: &Resources) -> bool {
         self.hints.is_empty() || self.hints.is_feasible(resources)
     }
 
-    /// Asks a few random agents for their room, so that the hints stay fresh.
+    /// Queries the free capacity of a few random agents to keep the hints up to date.
     pub async fn refresh_hints(&mut self) {
         let members = self.node.members();
         let agents: Vec<&Member> =
@@ -121,7 +123,7 @@
         self.reserve_all(chosen, now).await;
     }
 
-    /// Finds places for waiting tasks, most urgent first.
+    /// Assigns waiting tasks to instances, most urgent first.
     pub async fn place(&mut self, state: &ShardState, now: Instant) -> PlacementResult {
         let mut result = PlacementResult::default();
         let by_instance = self.choose(state, now, &mut result);
@@ -165,7 +167,7 @@
         chosen
     }
 
-    /// Asks each instance for room; the assignments that were granted.
+    /// Reserves capacity on each instance; returns the granted assignments.
     async fn reserve_all(
         &mut self,
         chosen: Vec<(InstanceId, Vec<Candidate>)>,
--- a/crates/teaseltrack-agent/src/tasks/reporter.rs
+++ b/crates/teaseltrack-agent/src/tasks/reporter.rs
@@ -1,4 +1,4 @@
-//! Tells shards' owners what happened to attempts, until they acknowledge it.
+//! Reports events of attempts to the owners of their shards, with retries until acknowledged.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -21,47 +21,47 @@
 
 use crate::tasks::attempts::AttemptMessage;
 
-/// Messages that may wait for the task.
+/// Capacity of the task's message channel.
 pub const CHANNEL_CAPACITY: usize = 4_096;
-/// Time for the owner to commit a batch.
+/// Timeout for the owner to commit a batch.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Wait before a batch is sent again.
+/// Delay before a batch is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Reports of one batch.
+/// Maximum number of reports per batch.
 const MAX_BATCH_REPORTS: usize = 500;
 
-/// A report and what goes with it.
+/// A report, with the state of the instance at that time.
 #[derive(Debug)]
 pub struct ReportMessage {
-    /// The shard.
+    /// Shard of the task.
     pub shard: ShardNumber,
     /// The report.
     pub report: AttemptReport,
     /// Capacity of the instance for tasks.
     pub capacity: Resources,
-    /// Room that is left.
+    /// Free capacity of the instance.
     pub available: Resources,
     /// Incarnation of the lease.
     pub incarnation: Incarnation,
 }
 
-/// What reporting needs.
+/// Sends reports to the owners of shards.
 #[derive(Clone, Debug)]
 pub struct Reporter {
-    /// Logs.
+    /// Logger.
     pub logger: Logger,
     /// This instance.
     pub instance: InstanceId,
-    /// The store, which knows the shards' owners.
+    /// The store, from which the shards' owners are read.
     pub store: Store,
     /// Clients of control calls.
     pub clients: ControlClients,
-    /// Hears of what was acknowledged.
+    /// Receives the attempts whose end was acknowledged.
     pub attempts: mpsc::Sender<AttemptMessage>,
 }
 
 impl Reporter {
-    /// Hands reports to one task for each shard.
+    /// Dispatches reports to one async task per shard.
     pub async fn run(self, mut receiver: mpsc::Receiver<ReportMessage>) {
         let mut shards: BTreeMap<ShardNumber, mpsc::UnboundedSender<ReportMessage>> =
             BTreeMap::new();
@@ -120,7 +120,7 @@
         batch
     }
 
-    /// Sends a batch until the shard's owner has committed it.
+    /// Sends a batch repeatedly until the shard's owner has committed it.
     async fn deliver(&self, batch: &ReportBatch, owner: &mut Option<SocketAddr>) {
         loop {
             if owner.is_none() {
@@ -130,7 +130,7 @@
                 match self.send(address, batch.clone()).await {
                     Ok(()) => return,
                     Err(kind) => {
-                        debug!(self.logger, "report not taken"; "shard" => batch.shard,
+                        debug!(self.logger, "report not accepted; retrying"; "shard" => batch.shard,
                             "owner" => %address, "kind" => %kind);
                         self.clients.forget(address);
                         *owner = None;
--- a/crates/teaseltrack-agent/src/tasks/shard_manager.rs
+++ b/crates/teaseltrack-agent/src/tasks/shard_manager.rs
@@ -1,8 +1,9 @@
 //! Decides which job shards this agent owns.
 //!
-//! Every shard prefers agents in an order that all compute alike. The most preferred one takes a shard
-//! that has no owner, or whose owner the fleet takes to be gone; the second does so after a while. The
-//! epoch in the shard's head makes a wrong guess harmless.
+//! Each shard has a preference order of agents, which all agents compute identically. The first
+//! agent in this order acquires a shard that has no owner or whose owner is no longer a member; the
+//! second one does so after a delay. The epoch in the shard's head fences off the previous owner,
+//! so that an acquisition based on an incorrect view of the members is harmless.
 
 use std::{
     collections::BTreeMap,
@@ -32,29 +33,30 @@
 
 use crate::tasks::owner::{OwnerContext, OwnerMessage, ShardOwnerTask, run_owner};
 
-/// Messages that may wait for the task.
+/// Capacity of the task's message channel.
 pub const CHANNEL_CAPACITY: usize = 1_024;
-/// Time between looks at the shards.
+/// Mean interval between checks of the shards.
 const CHECK_PERIOD: Duration = Duration::from_secs(1);
-/// Time after which the second choice takes an ownerless shard.
+/// Time after which the second agent in the preference order acquires an ownerless shard.
 const SECONDARY_TAKEOVER_DELAY: Duration = Duration::from_secs(5);
-/// Time for which an owner that the fleet takes to be there is believed without reading the head.
+/// Time for which the cached owner of a shard is trusted, while it is a member, before the head is
+/// read again.
 const CACHE_TTL: Duration = Duration::from_secs(5);
-/// Time after its start before an agent takes shards.
+/// Delay after startup before an agent acquires shards.
 const START_GRACE: Duration = Duration::from_secs(2);
-/// Agents that may take a shard.
+/// Number of agents in the preference order that may acquire a shard.
 const MAX_CANDIDATES: usize = 2;
-/// Messages that may wait for an owner.
+/// Capacity of an owner's message channel.
 const OWNER_CHANNEL_CAPACITY: usize = 1_024;
 
 /// A message to the task.
 #[derive(Debug)]
 pub enum ShardMessage {
-    /// The shard's inbox holds something new.
+    /// The shard's inbox has new commands.
     Wake(ShardNumber),
-    /// An agent reports events.
+    /// An agent reports events; the reply is sent by the shard's owner.
     Report(ReportBatch, oneshot::Sender<Result<(), ErrorKind>>),
-    /// The agent stops; answered when all shards are given up.
+    /// The agent shuts down; the reply is sent when all shards are released.
     Drain(oneshot::Sender<()>),
 }
 
@@ -65,12 +67,12 @@
     owned: BTreeMap<ShardNumber, OwnerHandle>,
     ownerless_since: BTreeMap<ShardNumber, Instant>,
     cached_owners: BTreeMap<ShardNumber, CachedOwner>,
-    /// Shards that this agent may take, with its rank, for the members in `agents`.
+    /// Shards that this agent may acquire, with its rank in their preference order among `agents`.
     candidacies: Vec<(ShardNumber, usize)>,
     agents: Vec<InstanceId>,
 }
 
-/// A live owner, as last read from the shard's head.
+/// Live owner of a shard, as last read from its head.
 struct CachedOwner {
     owner: Owner,
     read_at: Instant,
@@ -82,7 +84,7 @@
 }
 
 impl ShardManager {
-    /// Owns nothing yet.
+    /// Creates a manager that owns no shards.
     pub fn new(logger: Logger, context: Arc<OwnerContext>) -> Self {
         Self {
             logger,
@@ -95,9 +97,10 @@
         }
     }
 
-    /// Runs until the agent stops.
+    /// Runs until the agent shuts down.
     pub async fn run(mut self, mut receiver: mpsc::Receiver<ShardMessage>) {
-        // An agent that has just started knows too few others to tell who is preferred.
+        // An agent that has just started doesn't know enough members to compute the preference
+        // order.
         let mut next_check_at = Instant::now() + START_GRACE;
         loop {
             tokio::select! {
@@ -111,9 +114,10 @@
                     None => return,
                 },
                 () = sleep_until(next_check_at.into()) => {
-                    next_check_at = Instant::now() + CHECK_PERIOD.mul_f64(rand::rng().random_range(0.8..1.2));
+                    next_check_at =
+                        Instant::now() + CHECK_PERIOD.mul_f64(rand::rng().random_range(0.8..1.2));
                     if let Err(error) = self.check_shards().await {
-                        debug!(self.logger, "no look at the shards"; "error" => %error);
+                        debug!(self.logger, "shard check failed"; "error" => %error);
                     }
                 }
             }
@@ -132,7 +136,7 @@
                     reply.send(Err(ErrorKind::NotFound)).ok();
                     return;
                 };
-                // A full inbox drops the reply, and the agent reports again.
+                // A full channel drops the reply, and the reporting agent retries.
                 owned.sender.try_send(OwnerMessage::Report(batch, reply)).ok();
             }
             ShardMessage::Drain(reply) => {
@@ -152,7 +156,7 @@
         Ok(())
     }
 
-    /// Works out anew which shards this agent may take, if other agents are there than before.
+    /// Recomputes which shards this agent may acquire if the set of agents has changed.
     fn update_candidacies(&mut self) {
         let members = self.context.node.members();
         let agents: Vec<InstanceId> = members
@@ -197,13 +201,13 @@
         Ok(())
     }
 
-    /// Whether an owner may still act; an earlier process of this instance may not.
+    /// Whether an owner may still be active; an earlier process of this instance is not.
     fn is_live(&self, owner: &Owner) -> bool {
         owner.instance != self.context.owner.instance && self.agents.contains(&owner.instance)
     }
 
     fn start_owner(&mut self, shard: ShardNumber) {
-        info!(self.logger, "taking a shard"; "shard" => shard);
+        info!(self.logger, "acquiring shard"; "shard" => shard);
         let (sender, receiver) = mpsc::channel(OWNER_CHANNEL_CAPACITY);
         let ended = CancellationToken::new();
         let guard = ended.clone().drop_guard();
