--- a/crates/teaseltrack-agent/src/requests/capacity.rs
+++ b/crates/teaseltrack-agent/src/requests/capacity.rs
@@ -1,7 +1,8 @@
-//! The task that owns the target's slots and queue.
+//! Async task that allocates the target's slots and owns the request queue.
 //!
-//! A slot is freed when the target has answered or closed the connection, not when the caller stops
-//! waiting: a frozen target keeps its slots until it thaws or another process takes its place.
+//! A slot is freed when the target has responded or closed the connection, not when the caller
+//! stops waiting: the slots of a hung target stay occupied until it recovers or its process is
+//! replaced.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -29,66 +30,66 @@
 
 use crate::announce::TargetAnnouncement;
 
-/// Messages that may wait for the task.
-const INBOX_MESSAGES: usize = 4_096;
-/// Time between looks for a lapsed announcement.
-const TICK: Duration = Duration::from_millis(200);
-/// Advice on when to try again after a refusal that isn't the queue's.
+/// Capacity of the task's message channel.
+const CHANNEL_CAPACITY: usize = 4_096;
+/// Interval between checks for an expired announcement.
+const ANNOUNCEMENT_CHECK_PERIOD: Duration = Duration::from_millis(200);
+/// Advised retry delay of refusals that don't come from admission control.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A slot of the target.
+/// Permission to use one slot of the target.
 #[derive(Clone, Debug)]
 pub struct Permit {
     /// The slot.
     pub key: PermitKey,
-    /// The life of the target that it belongs to.
+    /// Generation of the target that the slot belongs to.
     pub generation: u64,
-    /// Where the target takes requests.
+    /// Address on which the target accepts requests.
     pub target: SocketAddr,
 }
 
-/// A request that is offered.
+/// A request that asks for admission.
 #[derive(Debug)]
 pub struct RequestOffer {
     /// Service that the request is for.
     pub service: String,
-    /// What admission needs to know.
+    /// Attributes that admission control uses.
     pub meta: RequestMeta,
-    /// Gets the slot or the refusal.
+    /// Receives the permit or the refusal.
     pub reply: oneshot::Sender<Result<Permit, Refusal>>,
 }
 
 /// A message to the task.
 #[derive(Debug)]
 pub enum CapacityMessage {
-    /// A request is offered.
+    /// Admit a request.
     Offer(RequestOffer),
-    /// A request has ended; with its latency if the target answered.
+    /// A request has ended; with its latency if the target's response was complete.
     Release(Permit, Option<Duration>),
-    /// The target announced itself.
+    /// The target announced itself or renewed its announcement.
     Announce(TargetAnnouncement),
-    /// The target leaves; answered when its requests have ended.
+    /// The target withdraws; the reply is sent when its requests have ended.
     Withdraw(oneshot::Sender<()>),
-    /// The agent stops; answered when all requests have ended.
+    /// The agent shuts down; the reply is sent when all requests have ended.
     Drain(oneshot::Sender<()>),
 }
 
 /// Counts for the status report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CapacityStatus {
-    /// Load at present.
+    /// Current load.
     pub load: LoadReport,
     /// Requests started so far.
     pub started: u64,
     /// Requests refused so far.
     pub refused: u64,
-    /// Most requests that ran at once.
+    /// Highest number of requests that ran concurrently.
     pub max_in_flight: u32,
-    /// Smoothed service latency over its remembered minimum.
+    /// Ratio of the smoothed service latency to its baseline.
     pub latency_ratio: f64,
 }
 
-/// Sender to the task, cheap to clone.
+/// Handle to the task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct CapacityHandle {
     sender: mpsc::Sender<CapacityMessage>,
@@ -97,39 +98,39 @@
 
 impl CapacityHandle {
     /// Sends a message.
-    pub async fn tell(&self, message: CapacityMessage) {
+    pub async fn send(&self, message: CapacityMessage) {
         self.sender.send(message).await.ok();
     }
 
-    /// Sends a message and waits for the reply; `None` when the task has ended.
-    pub async fn ask<T>(
+    /// Sends a message and waits for the reply; `None` if the task has ended.
+    pub async fn request<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> CapacityMessage,
     ) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.sender.send(message(reply)).await.ok()?;
-        answer.await.ok()
+        response.await.ok()
     }
 
-    /// Counts as last published.
+    /// Last published status.
     pub fn status(&self) -> CapacityStatus {
         *self.status.borrow()
     }
 
-    /// Load as last published.
+    /// Last published load.
     pub fn load(&self) -> LoadReport {
         self.status().load
     }
 }
 
-/// Bounds of the target, from the settings.
+/// Limits of the target, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityLimits {
-    /// Most requests at once.
+    /// Maximum number of concurrent requests.
     pub max_slots: u32,
-    /// Requests of one class that may wait.
+    /// Maximum number of queued requests per class.
     pub queue_per_class: usize,
-    /// Time after its last announcement when the target is taken to be gone.
+    /// Time after the last announcement at which the target is considered gone.
     pub announcement_ttl: Duration,
 }
 
@@ -149,22 +150,22 @@
     admission: Admission,
     generation: u64,
     target: Option<AnnouncedTarget>,
-    waiting: HashMap<TicketKey, oneshot::Sender<Result<Permit, Refusal>>>,
-    drained: Vec<oneshot::Sender<()>>,
-    is_stopping: bool,
+    pending_replies: HashMap<TicketKey, oneshot::Sender<Result<Permit, Refusal>>>,
+    drain_waiters: Vec<oneshot::Sender<()>>,
+    is_shutting_down: bool,
     counts: CapacityStatus,
     status: watch::Sender<CapacityStatus>,
 }
 
-/// What the task needs beside its limits.
+/// Dependencies of the task.
 pub struct CapacityContext {
-    /// Logs.
+    /// Logger.
     pub logger: Logger,
     /// Clock.
     pub clock: SharedClock,
     /// Metrics.
     pub metrics: Metrics,
-    /// The node, which tells the fleet of the target.
+    /// The node, which announces the target to the fleet.
     pub node: NodeHandle,
     /// Clients of control calls.
     pub clients: ControlClients,
@@ -172,7 +173,7 @@
 
 /// Starts the task.
 pub fn spawn_capacity(limits: CapacityLimits, context: CapacityContext) -> CapacityHandle {
-    let (sender, receiver) = mpsc::channel(INBOX_MESSAGES);
+    let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let (status, status_receiver) = watch::channel(CapacityStatus::default());
     let CapacityContext { logger, clock, metrics, node, clients } = context;
     let task = CapacityTask {
@@ -185,9 +186,9 @@
         admission: new_admission(&limits, limits.max_slots),
         generation: 0,
         target: None,
-        waiting: HashMap::new(),
-        drained: Vec::new(),
-        is_stopping: false,
+        pending_replies: HashMap::new(),
+        drain_waiters: Vec::new(),
+        is_shutting_down: false,
         counts: CapacityStatus::default(),
         status,
     };
@@ -202,7 +203,7 @@
 
 impl CapacityTask {
     async fn run(mut self, mut receiver: mpsc::Receiver<CapacityMessage>) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(ANNOUNCEMENT_CHECK_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -215,7 +216,7 @@
             }
             self.expire();
             self.dispatch();
-            self.settle();
+            self.finish_iteration();
         }
     }
 
@@ -229,20 +230,20 @@
             }
             CapacityMessage::Announce(announcement) => self.announce(announcement).await,
             CapacityMessage::Withdraw(reply) => {
-                self.drained.push(reply);
-                self.withdraw("the target withdrew").await;
+                self.drain_waiters.push(reply);
+                self.withdraw("withdrawn by the target").await;
             }
             CapacityMessage::Drain(reply) => {
-                self.drained.push(reply);
-                self.is_stopping = true;
-                self.withdraw("the agent stops").await;
+                self.drain_waiters.push(reply);
+                self.is_shutting_down = true;
+                self.withdraw("agent shutting down").await;
             }
         }
     }
 
     fn offer(&mut self, offer: RequestOffer) {
         let refusal = |kind| Refusal { kind, retry_after: RETRY_AFTER };
-        if self.is_stopping {
+        if self.is_shutting_down {
             self.refuse(offer.reply, refusal(ErrorKind::Draining));
             return;
         }
@@ -256,7 +257,7 @@
         }
         match self.admission.offer(self.clock.now(), offer.meta) {
             AdmissionDecision::Queued(ticket) => {
-                self.waiting.insert(ticket, offer.reply);
+                self.pending_replies.insert(ticket, offer.reply);
             }
             AdmissionDecision::Refused(refusal) => self.refuse(offer.reply, refusal),
         }
@@ -268,16 +269,16 @@
         reply.send(Err(refusal)).ok();
     }
 
-    /// Starts what can start; a request whose caller has gone is dropped before it starts.
+    /// Grants free slots to queued requests, skipping requests whose caller is gone.
     fn dispatch(&mut self) {
         let Some(target) = self.target.as_ref().map(|target| target.announcement.address) else {
             return;
         };
         while let Some(Dispatched { ticket, permit: key }) = self.admission.dispatch() {
             let permit = Permit { key, generation: self.generation, target };
-            let reply = self.waiting.remove(&ticket);
-            let is_taken = reply.is_some_and(|reply| reply.send(Ok(permit)).is_ok());
-            if is_taken {
+            let reply = self.pending_replies.remove(&ticket);
+            let is_accepted = reply.is_some_and(|reply| reply.send(Ok(permit)).is_ok());
+            if is_accepted {
                 self.counts.started += 1;
             } else {
                 self.admission.release(key, None);
@@ -289,7 +290,7 @@
     fn expire(&mut self) {
         let kind = ErrorKind::DeadlineExceeded;
         while let Some(ticket) = self.admission.expire(self.clock.now()) {
-            if let Some(reply) = self.waiting.remove(&ticket) {
+            if let Some(reply) = self.pending_replies.remove(&ticket) {
                 self.refuse(reply, Refusal { kind, retry_after: RETRY_AFTER });
             }
         }
@@ -297,7 +298,7 @@
 
     async fn announce(&mut self, announcement: TargetAnnouncement) {
         let renewed_at = Instant::now();
-        if self.is_stopping {
+        if self.is_shutting_down {
             return;
         }
         if let Some(target) = &mut self.target
@@ -313,15 +314,15 @@
             .is_some_and(|target| target.announcement.process == announcement.process);
         if !is_same_process {
             self.generation += 1;
-            self.refuse_waiting();
+            self.refuse_queued();
             self.admission = new_admission(&self.limits, announcement.slots);
         }
         info!(self.logger, "target announced"; "service" => &announcement.service,
             "slots" => announcement.slots, "generation" => self.generation);
-        let told =
+        let published =
             Announcement { service: announcement.service.clone(), slots: announcement.slots };
         self.target = Some(AnnouncedTarget { announcement, renewed_at, is_present: true });
-        self.tell_fleet(Some(told)).await;
+        self.publish_target(Some(published)).await;
     }
 
     async fn withdraw(&mut self, reason: &'static str) {
@@ -329,9 +330,9 @@
             && target.is_present
         {
             target.is_present = false;
-            info!(self.logger, "target left"; "reason" => reason);
+            info!(self.logger, "target withdrawn"; "reason" => reason);
         }
-        self.tell_fleet(None).await;
+        self.publish_target(None).await;
     }
 
     async fn check_announcement(&mut self) {
@@ -341,33 +342,33 @@
             .as_ref()
             .is_some_and(|target| target.is_present && target.renewed_at.elapsed() >= ttl);
         if is_overdue {
-            warn!(self.logger, "target stopped announcing itself");
-            self.withdraw("no announcement").await;
+            warn!(self.logger, "target announcement expired");
+            self.withdraw("announcement expired").await;
         }
         self.publish();
     }
 
-    async fn tell_fleet(&self, target: Option<Announcement>) {
+    async fn publish_target(&self, target: Option<Announcement>) {
         self.node.tell(NodeMessage::Announce(target)).await;
         let (node, clients) = (self.node.clone(), self.clients.clone());
         tokio::spawn(async move { push_announcement(&node, &clients).await });
     }
 
-    fn refuse_waiting(&mut self) {
-        let waiting: Vec<_> = self.waiting.drain().collect();
-        for (ticket, reply) in waiting {
+    fn refuse_queued(&mut self) {
+        let pending_replies: Vec<_> = self.pending_replies.drain().collect();
+        for (ticket, reply) in pending_replies {
             self.admission.cancel(ticket);
             self.refuse(reply, Refusal { kind: ErrorKind::NoTarget, retry_after: RETRY_AFTER });
         }
     }
 
-    /// Answers those who wait for the end of all requests.
-    fn settle(&mut self) {
+    /// Publishes the status, and replies to pending drains when no request is left.
+    fn finish_iteration(&mut self) {
         let in_flight = self.admission.in_flight();
         self.counts.max_in_flight = self.counts.max_in_flight.max(in_flight);
         self.publish();
         if in_flight == 0 && self.admission.queued() == 0 {
-            for reply in self.drained.drain(..) {
+            for reply in self.drain_waiters.drain(..) {
                 reply.send(()).ok();
             }
         }
@@ -378,7 +379,7 @@
             in_flight: self.admission.in_flight(),
             queued: self.admission.queued(),
             limit: self.admission.limit(),
-            is_draining: self.is_stopping
+            is_draining: self.is_shutting_down
                 || self.target.as_ref().is_none_or(|target| !target.is_present),
         };
         self.counts.latency_ratio = self.admission.latency_ratio();
@@ -386,7 +387,7 @@
     }
 }
 
-/// Sleeps until the instant, or for ever without one.
+/// Sleeps until the instant; never returns if there is none.
 async fn sleep_until(instant: Option<std::time::Instant>) {
     match instant {
         Some(instant) => tokio::time::sleep_until(instant.into()).await,
--- a/crates/teaseltrack-agent/src/tasks/attempts.rs
+++ b/crates/teaseltrack-agent/src/tasks/attempts.rs
@@ -1,7 +1,8 @@
-//! The task that owns the instance's room and the attempts on its worker.
+//! Async task that manages the instance's resources and the attempts on its worker.
 //!
-//! An attempt number is accepted once. Ends are reported to the shard's owner until they are committed
-//! and only then forgotten by the worker, so that an agent that starts anew learns them again.
+//! Each attempt number is accepted at most once. The end of an attempt is reported to the shard's
+//! owner until it is committed. Only then does the worker drop the attempt, so that a restarted
+//! agent finds unacknowledged ends again.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -39,50 +40,50 @@
     tasks::{lease_keeper::LeaseView, reporter::ReportMessage},
 };
 
-/// Messages that may wait for the task.
-pub const INBOX_MESSAGES: usize = 1_024;
-/// Time between looks at the worker.
+/// Capacity of the task's message channel.
+pub const CHANNEL_CAPACITY: usize = 1_024;
+/// Interval between syncs with the worker.
 const SYNC_PERIOD: Duration = Duration::from_millis(100);
-/// Time for which room is held before its start comes.
-const RESERVATION: Duration = Duration::from_secs(10);
-/// Time for which an accepted attempt is remembered after its end.
-const ACCEPTED_MEMORY: Duration = Duration::from_secs(3_600);
+/// Time after which a reservation without a start order expires.
+const RESERVATION_TTL: Duration = Duration::from_secs(10);
+/// Time for which the number of an ended attempt is kept, so that a repeated start is ignored.
+const ACCEPTED_TTL: Duration = Duration::from_secs(3_600);
 
 /// A message to the task.
 #[derive(Debug)]
 pub enum AttemptMessage {
-    /// Room is asked for.
+    /// Reserve capacity.
     Reserve(Vec<ReservationRequest>, oneshot::Sender<Result<ReservationResponse, ErrorKind>>),
-    /// Committed assignments are to start.
+    /// Start attempts of committed assignments.
     Start(ShardOwner, Vec<StartOrder>, oneshot::Sender<Result<(), ErrorKind>>),
-    /// Attempts are to stop.
+    /// Stop attempts.
     Stop(ShardOwner, Vec<StopOrder>, oneshot::Sender<Result<(), ErrorKind>>),
-    /// The end of an attempt is committed.
+    /// The ends of attempts are committed.
     Acknowledged(Vec<AttemptKey>),
-    /// A checkpoint is stored.
+    /// The checkpoint of a stopped attempt is stored; with its key and the reason of the stop.
     Checkpointed(AttemptKey, String, String),
-    /// The agent stops: all attempts are evicted; answered when their ends are committed.
+    /// Evict all attempts before shutdown; the reply is sent when their ends are committed.
     Drain(oneshot::Sender<()>),
 }
 
 /// Counts for the status report.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptStatus {
-    /// Attempts that hold room.
+    /// Attempts that occupy capacity.
     pub running: u64,
     /// Attempts started so far.
     pub started: u64,
     /// Attempts evicted so far.
     pub evicted: u64,
-    /// Room that is left.
-    pub room: Resources,
-    /// Share of its full speed at which batch work runs.
+    /// Free capacity.
+    pub available: Resources,
+    /// Fraction of full speed at which batch work runs.
     pub share: f64,
 }
 
-/// What the task needs.
+/// Dependencies of the task.
 pub struct AttemptContext {
-    /// Logs.
+    /// Logger.
     pub logger: Logger,
     /// Clock.
     pub clock: SharedClock,
@@ -94,57 +95,57 @@
     pub capacity: Resources,
     /// The instance's lease.
     pub lease: watch::Receiver<Option<LeaseView>>,
-    /// The target's load, for the reflex that throttles batch work.
+    /// Handle to the target's latency ratio, by which batch work is throttled.
     pub requests: CapacityHandle,
-    /// Takes reports.
+    /// Sender of reports.
     pub reports: mpsc::Sender<ReportMessage>,
-    /// Gets the counts.
+    /// Publishes the status.
     pub status: watch::Sender<AttemptStatus>,
-    /// The task's own inbox, for what it waits for.
+    /// Sender to the task itself, for the completion of background work.
     pub sender: mpsc::Sender<AttemptMessage>,
 }
 
-/// Owner of the instance's room and attempts.
+/// Manager of the instance's resources and attempts.
 pub struct Attempts {
     context: AttemptContext,
     ledger: ReservationLedger,
-    incarnation: Option<Incarnation>,
+    synced_incarnation: Option<Incarnation>,
     running: BTreeSet<AttemptKey>,
     reported_started: BTreeSet<AttemptKey>,
     ended: BTreeSet<AttemptKey>,
     stopping: BTreeMap<AttemptKey, StopCause>,
-    /// Stopped attempts whose checkpoint is on its way to the store.
-    storing: BTreeSet<AttemptKey>,
+    /// Stopped attempts whose checkpoint is being uploaded to the store.
+    uploading: BTreeSet<AttemptKey>,
     accepted: BTreeMap<TaskId, (AttemptNumber, Instant)>,
     forget: Vec<AttemptKey>,
     throttle: Throttle,
     is_draining: bool,
-    drained: Option<oneshot::Sender<()>>,
+    drain_reply: Option<oneshot::Sender<()>>,
     status: AttemptStatus,
 }
 
 impl Attempts {
-    /// An instance without attempts; those on the worker are taken in with the first look at it.
+    /// Creates a manager without attempts; those on the worker are adopted by the first sync.
     pub fn new(context: AttemptContext) -> Self {
         Self {
             ledger: ReservationLedger::new(context.capacity),
             context,
-            incarnation: None,
+            synced_incarnation: None,
             running: BTreeSet::new(),
             reported_started: BTreeSet::new(),
             ended: BTreeSet::new(),
             stopping: BTreeMap::new(),
-            storing: BTreeSet::new(),
+            uploading: BTreeSet::new(),
             accepted: BTreeMap::new(),
             forget: Vec::new(),
             throttle: Throttle::default(),
             is_draining: false,
-            drained: None,
+            drain_reply: None,
             status: AttemptStatus::default(),
         }
     }
 
-    /// Runs until all senders are gone.
+    /// Runs until all senders are dropped.
     pub async fn run(mut self, mut receiver: mpsc::Receiver<AttemptMessage>) {
         let mut ticks = interval(SYNC_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -156,7 +157,7 @@
                 },
                 _ = ticks.tick() => self.sync().await,
             }
-            self.settle();
+            self.finish_iteration();
         }
     }
 
@@ -166,7 +167,7 @@
                 reply.send(Ok(self.reserve(&requests))).ok();
             }
             AttemptMessage::Start(owner, orders, reply) => {
-                debug!(self.context.logger, "starts ordered"; "shard" => owner.shard);
+                debug!(self.context.logger, "received start orders"; "shard" => owner.shard);
                 reply.send(self.start_all(orders).await).ok();
             }
             AttemptMessage::Stop(_, orders, reply) => {
@@ -180,13 +181,13 @@
                 }
             }
             AttemptMessage::Checkpointed(key, checkpoint, reason) => {
-                self.storing.remove(&key);
+                self.uploading.remove(&key);
                 self.status.evicted += 1;
                 self.end(&key, AttemptEvent::Evicted { checkpoint, reason }).await;
             }
             AttemptMessage::Drain(reply) => {
                 self.is_draining = true;
-                self.drained = Some(reply);
+                self.drain_reply = Some(reply);
                 for key in self.running.clone() {
                     self.stop(key, StopCause::Evict).await;
                 }
@@ -214,7 +215,7 @@
                     &request.task,
                     request.attempt,
                     request.resources,
-                    now + RESERVATION,
+                    now + RESERVATION_TTL,
                 );
             granted.push(is_granted);
         }
@@ -226,34 +227,36 @@
         }
     }
 
-    /// The incarnation whose attempts are all known here; an agent that has just started, or whose
-    /// lease has just changed, doesn't know yet what its worker runs and can tell nothing of attempts.
-    fn known_incarnation(&self) -> Result<Incarnation, ErrorKind> {
+    /// The incarnation of the lease, if the worker was synced under it; an error otherwise.
+    ///
+    /// An agent that has just started, or whose lease has just changed, doesn't know yet which
+    /// attempts its worker runs, and so can't handle orders for them.
+    fn require_synced(&self) -> Result<Incarnation, ErrorKind> {
         let held = self.lease().map(|lease| lease.incarnation);
-        self.incarnation.filter(|known| held == Some(*known)).ok_or(ErrorKind::Draining)
+        self.synced_incarnation.filter(|synced| held == Some(*synced)).ok_or(ErrorKind::Draining)
     }
 
     async fn start_all(&mut self, orders: Vec<StartOrder>) -> Result<(), ErrorKind> {
-        let known = self.known_incarnation()?;
-        if orders.iter().any(|order| order.incarnation > known) {
+        let synced = self.require_synced()?;
+        if orders.iter().any(|order| order.incarnation > synced) {
             return Err(ErrorKind::Draining);
         }
         for order in orders {
-            self.start(order, known).await;
+            self.start(order, synced).await;
         }
         Ok(())
     }
 
     async fn stop_all(&mut self, orders: Vec<StopOrder>) -> Result<(), ErrorKind> {
-        self.known_incarnation()?;
+        self.require_synced()?;
         for StopOrder { task, attempt, cause } in orders {
             self.stop(AttemptKey { task, attempt }, cause).await;
         }
         Ok(())
     }
 
-    /// Starts a committed attempt once, or reports why it won't ever start here.
-    async fn start(&mut self, order: StartOrder, known: Incarnation) {
+    /// Starts a committed attempt once, or reports why it will never start on this instance.
+    async fn start(&mut self, order: StartOrder, synced: Incarnation) {
         let StartOrder { task, attempt, incarnation, spec, checkpoint } = order;
         let now = self.context.clock.now();
         let key = AttemptKey { task, attempt };
@@ -261,14 +264,14 @@
             return;
         }
         self.accepted.insert(key.task.clone(), (attempt, now));
-        if incarnation < known || self.is_draining {
+        if incarnation < synced || self.is_draining {
             self.release(&key, "the lease changed or the agent stops").await;
             return;
         }
         let resources = Resources::declared(&spec);
-        let has_room = self.ledger.reserve(&key.task, attempt, resources, now + RESERVATION)
+        let is_reserved = self.ledger.reserve(&key.task, attempt, resources, now + RESERVATION_TTL)
             && self.ledger.confirm(&key.task, attempt);
-        if !has_room {
+        if !is_reserved {
             self.release(&key, "no room").await;
             return;
         }
@@ -292,7 +295,7 @@
         self.running.insert(key.clone());
         self.status.started += 1;
         if let Err(error) = self.context.worker.start(call).await {
-            warn!(self.context.logger, "worker start unanswered"; "task" => %key.task,
+            warn!(self.context.logger, "worker did not confirm the start"; "task" => %key.task,
                 "attempt" => attempt, "error" => %error);
         }
     }
@@ -318,28 +321,28 @@
         self.try_stop(key, cause).await;
     }
 
-    /// Stops an attempt on the worker; tried again with the next look at it if there is no answer.
+    /// Stops an attempt on the worker; the next sync retries if there is no response.
     async fn try_stop(&mut self, key: AttemptKey, cause: StopCause) {
         let is_checkpointed = cause == StopCause::Evict;
-        let Ok(answer) = self.context.worker.stop(key.clone(), is_checkpointed).await else {
+        let Ok(response) = self.context.worker.stop(key.clone(), is_checkpointed).await else {
             return;
         };
         self.stopping.remove(&key);
-        if matches!(answer.state, WorkerAttemptState::Done | WorkerAttemptState::Failed(_)) {
+        if matches!(response.state, WorkerAttemptState::Done | WorkerAttemptState::Failed(_)) {
             return;
         }
         self.running.remove(&key);
         self.ledger.release(&key.task, key.attempt);
-        match (cause, answer.checkpoint) {
+        match (cause, response.checkpoint) {
             (StopCause::Evict, Some(content)) => self.store_checkpoint(key, content),
             (StopCause::Evict, None) => self.release(&key, "stopped without a checkpoint").await,
             (StopCause::Cancel, _) => self.forget.push(key),
         }
     }
 
-    /// Stores a checkpoint, however long the store is down; the worker keeps it until then.
+    /// Uploads a checkpoint, retrying until the store accepts it; the worker keeps it until then.
     fn store_checkpoint(&mut self, key: AttemptKey, content: String) {
-        self.storing.insert(key.clone());
+        self.uploading.insert(key.clone());
         let store = self.context.store.clone();
         let sender = self.context.sender.clone();
         let object = keys::checkpoint(&key.task.job, key.task.index, key.attempt);
@@ -355,8 +358,8 @@
     async fn sync(&mut self) {
         let lease = self.lease();
         let incarnation = lease.map(|lease| lease.incarnation);
-        if self.incarnation.is_some() && incarnation != self.incarnation {
-            self.drop_all();
+        if self.synced_incarnation.is_some() && incarnation != self.synced_incarnation {
+            self.discard_attempts();
         }
         let deadline = lease.map(|lease| lease.deadline);
         if let Some(share) = self.throttle.record(self.context.requests.status().latency_ratio) {
@@ -364,47 +367,48 @@
         }
         let forget = std::mem::take(&mut self.forget);
         let share = self.throttle.share();
-        let answer = self.context.worker.sync(incarnation, deadline, share, forget.clone()).await;
-        match answer {
-            Ok(answer) => {
-                self.incarnation = incarnation;
-                self.take_in(answer).await;
+        let response = self.context.worker.sync(incarnation, deadline, share, forget.clone()).await;
+        match response {
+            Ok(response) => {
+                self.synced_incarnation = incarnation;
+                self.process_sync(response).await;
             }
             Err(error) => {
-                debug!(self.context.logger, "worker unanswered"; "error" => %error);
+                debug!(self.context.logger, "worker sync failed"; "error" => %error);
                 self.forget.extend(forget);
             }
         }
         self.prune();
     }
 
-    /// Forgets everything of an incarnation that is over; the worker drops it with the next sync.
-    fn drop_all(&mut self) {
+    /// Discards the attempts of an ended incarnation; the worker drops them with the next sync.
+    fn discard_attempts(&mut self) {
         if !self.running.is_empty() {
-            warn!(self.context.logger, "lease changed, attempts dropped";
+            warn!(self.context.logger, "lease changed; discarding attempts";
                 "count" => self.running.len());
         }
         for key in std::mem::take(&mut self.running) {
             self.ledger.release(&key.task, key.attempt);
         }
         self.stopping.clear();
-        self.storing.clear();
+        self.uploading.clear();
         self.ended.clear();
         self.reported_started.clear();
     }
 
-    async fn take_in(&mut self, answer: SyncResponse) {
-        let is_current = answer.incarnation == self.incarnation;
+    async fn process_sync(&mut self, response: SyncResponse) {
+        let is_current = response.incarnation == self.synced_incarnation;
         if !is_current {
             return;
         }
-        let mut seen = BTreeSet::new();
-        for attempt in answer.attempts {
-            seen.insert(attempt.key.clone());
-            self.take_in_attempt(attempt).await;
+        let mut listed = BTreeSet::new();
+        for attempt in response.attempts {
+            listed.insert(attempt.key.clone());
+            self.process_attempt(attempt).await;
         }
-        let missing: Vec<AttemptKey> = self.running.difference(&seen).cloned().collect();
-        // A start may still be on its way: the worker is told to stop it, which it remembers.
+        let missing: Vec<AttemptKey> = self.running.difference(&listed).cloned().collect();
+        // A start request may still be in transit. The worker remembers a stop and refuses a later
+        // start of the same attempt.
         for key in missing {
             self.stopping.entry(key).or_insert(StopCause::Evict);
         }
@@ -413,7 +417,7 @@
         }
     }
 
-    async fn take_in_attempt(&mut self, attempt: WorkerAttempt) {
+    async fn process_attempt(&mut self, attempt: WorkerAttempt) {
         let WorkerAttempt { key, state, resources, .. } = attempt;
         if self.ended.contains(&key) || self.forget.contains(&key) {
             return;
@@ -433,23 +437,27 @@
         }
     }
 
-    /// Takes in an attempt that an earlier agent process started.
+    /// Adopts an attempt that an earlier agent process started.
     fn adopt(&mut self, key: &AttemptKey, resources: Resources) {
         if !self.running.insert(key.clone()) {
             return;
         }
         let now = self.context.clock.now();
         self.accepted.insert(key.task.clone(), (key.attempt, now));
-        let is_held = self.ledger.reserve(&key.task, key.attempt, resources, now + RESERVATION)
-            && self.ledger.confirm(&key.task, key.attempt);
-        if !is_held {
-            warn!(self.context.logger, "adopted attempt doesn't fit"; "task" => %key.task);
+        let is_reserved =
+            self.ledger.reserve(&key.task, key.attempt, resources, now + RESERVATION_TTL)
+                && self.ledger.confirm(&key.task, key.attempt);
+        if !is_reserved {
+            warn!(self.context.logger, "adopted attempt exceeds the free capacity";
+                "task" => %key.task);
         }
     }
 
-    /// An attempt that an earlier agent process stopped, or whose checkpoint is being stored.
+    /// Handles a stopped attempt: one that this process stopped is ignored, and one that an earlier
+    /// agent process stopped is stopped again, so that its checkpoint is stored.
     async fn adopt_stopped(&mut self, key: AttemptKey) {
-        let is_known = self.accepted.get(&key.task).is_some_and(|(known, _)| *known >= key.attempt);
+        let is_known =
+            self.accepted.get(&key.task).is_some_and(|(accepted, _)| *accepted >= key.attempt);
         if is_known {
             return;
         }
@@ -476,8 +484,8 @@
             shard: shard_of(&task.job),
             report: AttemptReport { task, attempt, event },
             capacity: self.ledger.capacity(),
-            room: self.ledger.available(),
-            incarnation: self.incarnation.unwrap_or(0),
+            available: self.ledger.available(),
+            incarnation: self.synced_incarnation.unwrap_or(0),
         };
         self.context.reports.send(message).await.ok();
     }
@@ -488,18 +496,18 @@
         let running = &self.running;
         self.accepted.retain(|task, (attempt, at)| {
             let key = AttemptKey { task: task.clone(), attempt: *attempt };
-            running.contains(&key) || now.saturating_duration_since(*at) < ACCEPTED_MEMORY
+            running.contains(&key) || now.saturating_duration_since(*at) < ACCEPTED_TTL
         });
     }
 
-    fn settle(&mut self) {
+    fn finish_iteration(&mut self) {
         self.status.running = self.running.len() as u64;
-        self.status.room = self.ledger.available();
+        self.status.available = self.ledger.available();
         self.status.share = self.throttle.share();
         self.context.status.send_replace(self.status.clone());
         let is_drained =
-            self.running.is_empty() && self.storing.is_empty() && self.ended.is_empty();
-        if is_drained && let Some(reply) = self.drained.take() {
+            self.running.is_empty() && self.uploading.is_empty() && self.ended.is_empty();
+        if is_drained && let Some(reply) = self.drain_reply.take() {
             reply.send(()).ok();
         }
     }
--- a/crates/teaseltrack-agent/src/tasks/lease_keeper.rs
+++ b/crates/teaseltrack-agent/src/tasks/lease_keeper.rs
@@ -1,9 +1,9 @@
-//! Keeps the instance's lease.
+//! Acquires and renews the instance's lease.
 //!
-//! The lease belongs to the instance, not to the process: a new agent process takes it on if the
-//! worker still runs under it, and begins a new incarnation if not. When a renewal finds the row
-//! changed, either a taker marked it as lapsed, and a new incarnation begins, or a newer agent process
-//! holds it, and this one gives up its tasks.
+//! The lease belongs to the instance, not to the process: a new agent process adopts it if the
+//! worker still runs under it, and starts a new incarnation otherwise. If a renewal finds the row
+//! changed, either an observer marked it as lapsed, and a new incarnation starts, or a newer agent
+//! process holds it, and this one abandons its tasks.
 
 use std::time::{Duration, Instant};
 
@@ -25,26 +25,26 @@
     time::sleep,
 };
 
-/// Least wait after a failed call to the store.
+/// Minimum backoff after a failed call to the store.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest wait after a failed call to the store.
+/// Maximum backoff after a failed call to the store.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Least share of the renewal period between two renewals.
-const MIN_PERIOD_SHARE: f64 = 0.8;
+/// Minimum interval between two renewals, as a fraction of the renewal period.
+const MIN_RENEWAL_PERIOD_FRACTION: f64 = 0.8;
 
-/// The lease as the instance's other tasks see it.
+/// The lease as published to the agent's other async tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseView {
     /// Incarnation of the lease.
     pub incarnation: Incarnation,
-    /// Instant at which the work must have stopped.
+    /// Time by which all work under the lease must have stopped.
     pub deadline: Instant,
 }
 
-/// What the keeper needs.
+/// Keeps the instance's lease for one agent process.
 pub struct LeaseKeeper {
-    /// Logs.
+    /// Logger.
     pub logger: Logger,
     /// The store.
     pub store: Store,
@@ -52,37 +52,39 @@
     pub clock: SharedClock,
     /// The instance.
     pub instance: String,
-    /// Number of this process.
+    /// Incarnation of this agent process.
     pub holder: Incarnation,
-    /// Length of the lease.
+    /// Duration of the lease.
     pub ttl: Duration,
-    /// Gets the lease; `None` while there is none.
+    /// Publishes the lease; `None` while there is none.
     pub view: watch::Sender<Option<LeaseView>>,
 }
 
-/// A row that was written, with its version.
-struct Written {
+/// The lease row as committed by this process, with its version.
+struct WrittenLease {
     row: LeaseRow,
     version: u64,
     lease: HeldLease,
 }
 
 impl LeaseKeeper {
-    /// Holds the lease until asked to release it; `adopted` is the incarnation under which the worker
-    /// runs already. Ends early when a newer process holds the instance.
+    /// Holds the lease until `release` is received, or until a newer process holds the instance.
+    ///
+    /// `adopted_incarnation` is the incarnation under which the worker is already running.
     pub async fn run(
         self,
-        adopted: Option<Incarnation>,
+        adopted_incarnation: Option<Incarnation>,
         mut release: oneshot::Receiver<oneshot::Sender<()>>,
     ) {
-        let Some(mut held) = self.acquire(adopted).await else { return };
-        // Instances that start together don't renew together.
-        let mut least_share = 0.0;
+        let Some(mut held) = self.acquire(adopted_incarnation).await else { return };
+        // The first interval is fully random, so that instances started together renew at different
+        // times.
+        let mut min_fraction = 0.0;
         loop {
             self.publish(&held);
-            let share = rand::rng().random_range(least_share..1.0);
-            least_share = MIN_PERIOD_SHARE;
-            let period = held.lease.renewal_period().mul_f64(share);
+            let fraction = rand::rng().random_range(min_fraction..1.0);
+            min_fraction = MIN_RENEWAL_PERIOD_FRACTION;
+            let period = held.lease.renewal_period().mul_f64(fraction);
             tokio::select! {
                 () = sleep(period) => {}
                 reply = &mut release => {
@@ -98,61 +100,68 @@
         }
     }
 
-    fn publish(&self, held: &Written) {
+    fn publish(&self, held: &WrittenLease) {
         let (incarnation, deadline) = (held.row.incarnation, held.lease.deadline());
         self.view.send_replace(Some(LeaseView { incarnation, deadline }));
     }
 
-    /// Writes the row for this process; `None` if a newer process holds the instance.
-    async fn acquire(&self, adopted: Option<Incarnation>) -> Option<Written> {
+    /// Acquires the lease for this process; `None` if a newer process holds the instance.
+    async fn acquire(&self, adopted_incarnation: Option<Incarnation>) -> Option<WrittenLease> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
-            match self.try_acquire(adopted).await {
-                Ok(Acquired::Held(written)) => {
-                    info!(self.logger, "lease held"; "incarnation" => written.row.incarnation);
+            match self.try_acquire(adopted_incarnation).await {
+                Ok(AcquireOutcome::Held(written)) => {
+                    info!(self.logger, "lease acquired"; "incarnation" => written.row.incarnation);
                     return Some(written);
                 }
-                Ok(Acquired::Superseded) => {
-                    warn!(self.logger, "a newer process holds the instance");
+                Ok(AcquireOutcome::Superseded) => {
+                    warn!(self.logger, "lease is held by a newer agent process");
                     self.view.send_replace(None);
                     return None;
                 }
-                Ok(Acquired::Contended) => {}
-                Err(error) => warn!(self.logger, "lease not written"; "error" => %error),
+                Ok(AcquireOutcome::Contended) => {}
+                Err(error) => warn!(self.logger, "failed to acquire the lease"; "error" => %error),
             }
             let wait = backoff.after_failure(&mut rand::rng());
             sleep(wait).await;
         }
     }
 
-    async fn try_acquire(&self, adopted: Option<Incarnation>) -> Result<Acquired, StoreError> {
-        let found = self.store.read(&keys::lease(&self.instance)).await?;
-        let version = found.as_ref().map_or(0, |row| row.version);
-        let found: Option<LeaseRow> = found.as_ref().map(Row::parse).transpose()?;
-        if found.as_ref().is_some_and(|row| row.holder > self.holder) {
-            return Ok(Acquired::Superseded);
+    async fn try_acquire(
+        &self,
+        adopted_incarnation: Option<Incarnation>,
+    ) -> Result<AcquireOutcome, StoreError> {
+        let stored = self.store.read(&keys::lease(&self.instance)).await?;
+        let version = stored.as_ref().map_or(0, |row| row.version);
+        let stored: Option<LeaseRow> = stored.as_ref().map(Row::parse).transpose()?;
+        if stored.as_ref().is_some_and(|row| row.holder > self.holder) {
+            return Ok(AcquireOutcome::Superseded);
         }
-        let incarnation = match &found {
-            Some(row) if row.state == LeaseState::Held && adopted == Some(row.incarnation) => {
+        let incarnation = match &stored {
+            Some(row)
+                if row.state == LeaseState::Held
+                    && adopted_incarnation == Some(row.incarnation) =>
+            {
                 row.incarnation
             }
             Some(row) => row.incarnation + 1,
-            None => adopted.unwrap_or(0) + 1,
+            None => adopted_incarnation.unwrap_or(0) + 1,
         };
         let row = self.row(incarnation, LeaseState::Held);
         let sent_at = self.clock.now();
         match self.write(&row, version).await? {
-            CommitOutcome::Committed { version } => Ok(Acquired::Held(Written {
+            CommitOutcome::Committed { version } => Ok(AcquireOutcome::Held(WrittenLease {
                 row,
                 version,
                 lease: HeldLease::new(self.ttl, sent_at),
             })),
-            CommitOutcome::Conflict { .. } => Ok(Acquired::Contended),
+            CommitOutcome::Conflict { .. } => Ok(AcquireOutcome::Contended),
         }
     }
 
-    /// Renews until the store answers; `None` if a newer process holds the instance.
-    async fn renew(&self, mut held: Written) -> Option<Written> {
+    /// Renews the lease, retrying until the store responds; `None` if a newer process holds the
+    /// instance.
+    async fn renew(&self, mut held: WrittenLease) -> Option<WrittenLease> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         let row = self.row(held.row.incarnation, LeaseState::Held);
         loop {
@@ -160,41 +169,42 @@
             match self.write(&row, held.version).await {
                 Ok(CommitOutcome::Committed { version }) => {
                     held.lease.renew(sent_at);
-                    return Some(Written { row, version, lease: held.lease });
+                    return Some(WrittenLease { row, version, lease: held.lease });
                 }
                 Ok(CommitOutcome::Conflict { .. }) => break,
-                Err(error) => warn!(self.logger, "lease not renewed"; "error" => %error),
+                Err(error) => warn!(self.logger, "failed to renew the lease"; "error" => %error),
             }
             let wait = backoff.after_failure(&mut rand::rng());
             sleep(wait).await;
         }
-        // The row changed: by an earlier try of this renewal whose answer was lost, by a taker, or by
-        // a newer process. Acquiring anew tells which.
-        let adopted = self.adoptable(&row).await;
-        if adopted.is_none() {
+        // The row was changed by an earlier try of this renewal whose response was lost, by an
+        // observer, or by a newer process. Acquiring the lease again distinguishes these cases.
+        let adopted_incarnation = self.own_incarnation(&row).await;
+        if adopted_incarnation.is_none() {
             warn!(self.logger, "lease lost"; "incarnation" => row.incarnation);
         }
-        self.acquire(adopted).await
+        self.acquire(adopted_incarnation).await
     }
 
-    /// The incarnation, if the row is still this process's own.
-    async fn adoptable(&self, row: &LeaseRow) -> Option<Incarnation> {
+    /// The incarnation of `row`, if the stored lease is still held by this process under it.
+    async fn own_incarnation(&self, row: &LeaseRow) -> Option<Incarnation> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
-            if let Ok(found) = self.store.read(&keys::lease(&self.instance)).await {
-                let found: LeaseRow = found?.parse().ok()?;
-                let is_own = found.holder == self.holder && found.state == LeaseState::Held;
-                return (is_own && found.incarnation == row.incarnation).then_some(row.incarnation);
+            if let Ok(stored) = self.store.read(&keys::lease(&self.instance)).await {
+                let stored: LeaseRow = stored?.parse().ok()?;
+                let is_own = stored.holder == self.holder && stored.state == LeaseState::Held;
+                return (is_own && stored.incarnation == row.incarnation)
+                    .then_some(row.incarnation);
             }
             let wait = backoff.after_failure(&mut rand::rng());
             sleep(wait).await;
         }
     }
 
-    async fn release(&self, held: Written) {
+    async fn release(&self, held: WrittenLease) {
         let row = self.row(held.row.incarnation, LeaseState::Released);
         if let Err(error) = self.write(&row, held.version).await {
-            warn!(self.logger, "lease not released"; "error" => %error);
+            warn!(self.logger, "failed to release the lease"; "error" => %error);
         }
         self.view.send_replace(None);
     }
@@ -221,8 +231,8 @@
     }
 }
 
-enum Acquired {
-    Held(Written),
+enum AcquireOutcome {
+    Held(WrittenLease),
     Superseded,
     Contended,
 }
--- a/crates/teaseltrack-agent/src/tasks/owner.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner.rs
@@ -1,13 +1,14 @@
-//! The owner of one job shard.
+//! Owner of one job shard.
 //!
-//! A round takes in commands and reports, finds places, commits all decisions in one transaction and
-//! only then acts on them: starts and stops are sent, reports acknowledged. While a commit is under
-//! way the next round's work gathers, so that the store sees one write a round however many tasks
-//! start. An owner whose head has moved has lost the shard and forgets all it knew.
+//! A round processes commands and reports, places tasks, commits all decisions in one transaction
+//! and only then acts on them: it sends starts and stops and acknowledges reports. Messages that
+//! arrive during a commit are batched into the next round, so that there is one write to the store
+//! per round regardless of how many tasks start. If the head of the stream was changed by another
+//! process, the shard is lost and its state is discarded.
 
 mod leases;
 mod orders;
-mod places;
+mod placement;
 
 use std::{
     collections::BTreeMap,
@@ -44,28 +45,28 @@
 
 use crate::tasks::{owner::orders::Orders, placer::Placer};
 
-/// Time between rounds without a message.
-const TICK: Duration = Duration::from_millis(250);
-/// Ticks between looks at the inbox without a wake-up.
+/// Interval between rounds without a message.
+const TICK_PERIOD: Duration = Duration::from_millis(250);
+/// Ticks between reads of the inbox without a wake-up.
 const INBOX_TICKS: u32 = 4;
-/// Ticks between looks around for room and at suspicious leases.
-const LOOK_AROUND_TICKS: u32 = 4;
-/// Ticks between looks at the shard's head.
-const HEAD_TICKS: u32 = 20;
-/// Ticks between repetitions of all starts whose end isn't known.
-const REPEAT_TICKS: u32 = 40;
-/// Messages taken into one round.
-const ROUND_MESSAGES: usize = 512;
-/// Attempts of a task that may fail before it is given up.
+/// Ticks between refreshes of the capacity hints, checks of leases and archiving.
+const MAINTENANCE_TICKS: u32 = 4;
+/// Ticks between checks of the shard's head.
+const HEAD_CHECK_TICKS: u32 = 20;
+/// Ticks between resends of the starts of all placed attempts.
+const RESEND_TICKS: u32 = 40;
+/// Maximum number of messages that a round processes after its first one.
+const MAX_ROUND_MESSAGES: usize = 512;
+/// Number of failed attempts after which a task fails, unless the last instance is on probation.
 const MAX_FAILURES: u32 = 3;
-/// Time for the store to take the shard back in a planned stop.
-const GIVE_UP_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait before a shard is read again when the store doesn't answer.
-const LOAD_RETRY: Duration = Duration::from_millis(500);
+/// Time for which releasing the shard is retried in a graceful shutdown.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay before a shard is read again after a failed read.
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What all owners of an agent share.
+/// Dependencies shared by all owners of an agent.
 pub struct OwnerContext {
-    /// Logs.
+    /// Logger.
     pub logger: Logger,
     /// Metrics.
     pub metrics: Metrics,
@@ -77,32 +78,32 @@
     pub node: NodeHandle,
     /// Clients of control calls.
     pub clients: ControlClients,
-    /// This agent as an owner.
+    /// This agent, as written into the heads of its shards.
     pub owner: Owner,
 }
 
 /// A message to an owner.
 #[derive(Debug)]
 pub enum OwnerMessage {
-    /// The inbox holds something new.
+    /// The inbox has new commands.
     Wake,
-    /// An agent reports events; answered after they are committed.
+    /// An agent reports events; the reply is sent after they are committed.
     Report(ReportBatch, oneshot::Sender<Result<(), ErrorKind>>),
-    /// The agent stops.
-    GiveUp,
+    /// Release the shard, since the agent shuts down.
+    Release,
 }
 
-/// What an owner's task begins with.
+/// Parameters of an owner's async task.
 pub struct ShardOwnerTask {
     /// The shard.
     pub shard: ShardNumber,
-    /// What all owners share.
+    /// Dependencies shared by all owners.
     pub context: Arc<OwnerContext>,
-    /// Messages.
+    /// Receiver of messages.
     pub receiver: mpsc::Receiver<OwnerMessage>,
 }
 
-/// What one round gathers before it commits.
+/// Work of one round, collected before its commit.
 #[derive(Default)]
 struct Round {
     decisions: Vec<Decision>,
@@ -110,8 +111,8 @@
     writes: Vec<Write>,
     stops: BTreeMap<InstanceId, Vec<StopOrder>>,
     replies: Vec<oneshot::Sender<Result<(), ErrorKind>>>,
-    is_giving_up: bool,
-    /// Whether the round began with a tick, not with a message.
+    is_releasing: bool,
+    /// Whether the round was triggered by a tick rather than by a message.
     is_tick: bool,
 }
 
@@ -128,28 +129,28 @@
     preempted_at: Option<Instant>,
     is_inbox_due: bool,
     tick: u32,
-    /// Ends the sending of orders when the shard is lost.
-    orders: CancellationToken,
-    /// Cancels `orders` with the shard.
+    /// Cancels the sending of orders when the shard is lost or released.
+    orders_cancellation: CancellationToken,
+    /// Cancels `orders_cancellation` when the shard is dropped.
     _orders_guard: DropGuard,
 }
 
-/// Takes the shard and owns it until it is lost or given up.
+/// Acquires the shard and owns it until it is lost or released.
 pub async fn run_owner(task: ShardOwnerTask) {
     let ShardOwnerTask { shard, context, mut receiver } = task;
     let logger = context.logger.clone();
-    let Some(mut owned) = OwnedShard::take(shard, context).await else {
-        info!(logger, "shard taken by another"; "shard" => shard);
+    let Some(mut owned) = OwnedShard::acquire(shard, context).await else {
+        info!(logger, "shard not acquired"; "shard" => shard);
         return;
     };
-    owned.repeat_starts();
-    let mut ticks = interval(TICK);
+    owned.resend_starts();
+    let mut ticks = interval(TICK_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let mut round = Round::default();
         tokio::select! {
             message = receiver.recv() => match message {
-                Some(message) => owned.take_in(message, &mut round),
+                Some(message) => owned.handle_message(message, &mut round),
                 None => return,
             },
             _ = ticks.tick() => {
@@ -157,30 +158,31 @@
                 round.is_tick = true;
             }
         }
-        for _ in 0..ROUND_MESSAGES {
+        for _ in 0..MAX_ROUND_MESSAGES {
             let Ok(message) = receiver.try_recv() else { break };
-            owned.take_in(message, &mut round);
+            owned.handle_message(message, &mut round);
         }
-        let is_giving_up = round.is_giving_up;
+        let is_releasing = round.is_releasing;
         if owned.run_round(round).await.is_err() {
-            warn!(logger, "shard lost"; "shard" => shard);
+            warn!(logger, "shard ownership lost"; "shard" => shard);
             return;
         }
-        if is_giving_up {
-            owned.give_up().await;
+        if is_releasing {
+            owned.release().await;
             return;
         }
     }
 }
 
 impl OwnedShard {
-    /// Writes this agent into the shard's head and reads the state; `None` if another was faster.
-    async fn take(shard: ShardNumber, context: Arc<OwnerContext>) -> Option<Self> {
+    /// Writes this agent into the shard's head and loads the state; `None` if the write failed,
+    /// usually because another agent wrote first.
+    async fn acquire(shard: ShardNumber, context: Arc<OwnerContext>) -> Option<Self> {
         let name = stream_of(shard);
         let mut stream = loop {
             match Stream::open(&context.store, &name).await {
                 Ok(stream) => break stream,
-                Err(_) => sleep(LOAD_RETRY).await,
+                Err(_) => sleep(LOAD_RETRY_DELAY).await,
             }
         };
         let owner = Some(context.owner.clone());
@@ -201,14 +203,15 @@
             match load_shard(&context.store, shard).await {
                 Ok(loaded) => break loaded,
                 Err(error) => {
-                    warn!(context.logger, "shard not read"; "shard" => shard, "error" => %error);
-                    sleep(LOAD_RETRY).await;
+                    warn!(context.logger, "failed to load the shard"; "shard" => shard,
+                        "error" => %error);
+                    sleep(LOAD_RETRY_DELAY).await;
                 }
             }
         };
-        info!(context.logger, "shard owned"; "shard" => shard, "epoch" => stream.head().epoch,
+        info!(context.logger, "shard acquired"; "shard" => shard, "epoch" => stream.head().epoch,
             "jobs" => loaded.state.jobs().len(), "entries" => loaded.sequence);
-        let orders = CancellationToken::new();
+        let orders_cancellation = CancellationToken::new();
         let placer = Placer::new(context.node.clone(), context.clients.clone());
         Some(Self {
             shard,
@@ -221,35 +224,36 @@
             preempted_at: None,
             is_inbox_due: true,
             tick: 0,
-            _orders_guard: orders.clone().drop_guard(),
-            orders,
+            _orders_guard: orders_cancellation.clone().drop_guard(),
+            orders_cancellation,
         })
     }
 
-    fn take_in(&mut self, message: OwnerMessage, round: &mut Round) {
+    fn handle_message(&mut self, message: OwnerMessage, round: &mut Round) {
         match message {
             OwnerMessage::Wake => self.is_inbox_due = true,
             OwnerMessage::Report(batch, reply) => {
                 let ReportBatch { instance, incarnation, capacity, available, reports, .. } = batch;
-                self.placer.report(&instance, incarnation, capacity, available);
+                self.placer.record_report(&instance, incarnation, capacity, available);
                 for report in reports {
-                    self.take_in_report(&instance, report, round);
+                    self.handle_report(&instance, report, round);
                 }
                 round.replies.push(reply);
             }
-            OwnerMessage::GiveUp => round.is_giving_up = true,
+            OwnerMessage::Release => round.is_releasing = true,
         }
     }
 
-    /// Turns a report into a decision; one about another attempt than the current changes nothing.
-    fn take_in_report(&mut self, instance: &str, report: AttemptReport, round: &mut Round) {
+    /// Converts a report into a decision; a report about an attempt other than the current one is
+    /// ignored.
+    fn handle_report(&mut self, instance: &str, report: AttemptReport, round: &mut Round) {
         let AttemptReport { task, attempt, event } = report;
-        let is_current = self.state.task(&task).is_some_and(|held| {
-            held.attempt == attempt
-                && held.state.placement().is_some_and(|placement| placement.instance == instance)
+        let is_current = self.state.task(&task).is_some_and(|current| {
+            current.attempt == attempt
+                && current.state.placement().is_some_and(|placement| placement.instance == instance)
         });
         if !is_current {
-            // An attempt that runs although the shard knows better isn't wanted there.
+            // The attempt isn't the current one, so stop it.
             if event == AttemptEvent::Started {
                 let order = StopOrder { task, attempt, cause: StopCause::Cancel };
                 round.stops.entry(instance.to_owned()).or_default().push(order);
@@ -269,7 +273,7 @@
             AttemptEvent::Released { reason } => Decision::Released { task, attempt, reason },
             AttemptEvent::Failed { reason } => {
                 self.placer.record_end(instance, &task.job, false, now);
-                let failures = self.state.task(&task).map_or(0, |held| held.failures);
+                let failures = self.state.task(&task).map_or(0, |current| current.failures);
                 let is_final =
                     failures + 1 >= MAX_FAILURES && !self.placer.is_on_probation(instance, now);
                 Decision::AttemptFailed { task, attempt, is_final, reason }
@@ -278,7 +282,7 @@
         self.decide(decision, round);
     }
 
-    /// Applies a decision that is about to be committed; nobody learns of it before it is.
+    /// Applies a decision to the state before its commit; it has no external effect until then.
     fn decide(&mut self, decision: Decision, round: &mut Round) {
         if self.state.apply(&decision).is_ok() {
             round.decisions.push(decision);
@@ -288,29 +292,29 @@
     async fn run_round(&mut self, mut round: Round) -> Result<(), ShardLost> {
         let (is_tick, tick) = (round.is_tick, self.tick);
         let is_due = |ticks: u32| is_tick && tick.is_multiple_of(ticks);
-        self.take_in_inbox(&mut round).await;
-        if is_due(LOOK_AROUND_TICKS) {
-            self.placer.look_around().await;
+        self.process_inbox(&mut round).await;
+        if is_due(MAINTENANCE_TICKS) {
+            self.placer.refresh_hints().await;
         }
         self.park_and_unpark(&mut round);
-        if !round.is_giving_up && self.state.waiting_count() > 0 {
+        if !round.is_releasing && self.state.waiting_count() > 0 {
             self.place(&mut round).await;
         }
         self.commit(round).await?;
-        if is_due(LOOK_AROUND_TICKS) {
+        if is_due(MAINTENANCE_TICKS) {
             self.check_leases().await?;
             self.archive().await;
         }
-        if is_due(HEAD_TICKS) {
+        if is_due(HEAD_CHECK_TICKS) {
             self.check_head().await?;
         }
-        if is_due(REPEAT_TICKS) {
-            self.repeat_starts();
+        if is_due(RESEND_TICKS) {
+            self.resend_starts();
         }
         Ok(())
     }
 
-    async fn take_in_inbox(&mut self, round: &mut Round) {
+    async fn process_inbox(&mut self, round: &mut Round) {
         let is_due = self.is_inbox_due || (round.is_tick && self.tick.is_multiple_of(INBOX_TICKS));
         if !is_due {
             return;
@@ -319,27 +323,27 @@
             Ok(InboxPage { decisions, keys }) => {
                 self.is_inbox_due = false;
                 for decision in decisions {
-                    self.note_stops(&decision, round);
+                    self.queue_stops(&decision, round);
                     self.decide(decision, round);
                 }
                 round.writes.extend(keys.into_iter().map(Write::delete));
             }
             Err(error) => {
-                warn!(self.context.logger, "inbox not read"; "shard" => self.shard,
+                warn!(self.context.logger, "failed to read the inbox"; "shard" => self.shard,
                     "error" => %error);
             }
         }
     }
 
-    /// Notes the attempts that a command ends.
-    fn note_stops(&self, decision: &Decision, round: &mut Round) {
+    /// Queues stop orders for the attempts that a command ends.
+    fn queue_stops(&self, decision: &Decision, round: &mut Round) {
         let (job, kept) = match decision {
             Decision::JobCancelled { job, .. } => (job, 0),
             Decision::JobAmended { job, spec, .. } => (job, spec.tasks as usize),
             _ => return,
         };
-        let Some(held) = self.state.jobs().get(job) else { return };
-        for (index, task) in held.tasks.iter().enumerate().skip(kept) {
+        let Some(current) = self.state.jobs().get(job) else { return };
+        for (index, task) in current.tasks.iter().enumerate().skip(kept) {
             let Some(placement) = task.state.placement() else { continue };
             let order = StopOrder {
                 task: TaskId { job: job.clone(), index: index as u32 },
@@ -394,7 +398,7 @@
         }
     }
 
-    /// Ends an owner that another has replaced, which it would else learn only with its next commit.
+    /// Detects that another agent has replaced this owner, without waiting for the next commit.
     async fn check_head(&self) -> Result<(), ShardLost> {
         let Ok(row) = self.context.store.read(&keys::head(self.stream.name())).await else {
             return Ok(());
@@ -403,14 +407,14 @@
         if is_own { Ok(()) } else { Err(ShardLost) }
     }
 
-    /// Writes a snapshot and moves a segment of the journal, when there is a whole one.
+    /// Writes a snapshot and archives a segment of the journal, if a full segment is available.
     async fn archive(&mut self) {
         let sequence = self.stream.head().sequence;
         if sequence < self.archive.mark.through_sequence + SEGMENT_ENTRIES {
             return;
         }
         if let Err(error) = self.try_archive(sequence).await {
-            warn!(self.context.logger, "journal not archived"; "shard" => self.shard,
+            warn!(self.context.logger, "failed to archive the journal"; "shard" => self.shard,
                 "error" => %error);
         }
     }
@@ -424,14 +428,14 @@
         Ok(())
     }
 
-    /// Writes into the head that the shard has no owner.
-    async fn give_up(&mut self) {
+    /// Releases the shard by removing its owner from the head.
+    async fn release(&mut self) {
         let body =
             EntryBody::Ownership { owner: None, reason: "planned stop of the owner".to_owned() };
         let mut append = self.append(body, None, Vec::new(), Vec::new());
-        append.retry_deadline = Some(self.context.clock.now() + GIVE_UP_TIMEOUT);
+        append.retry_deadline = Some(self.context.clock.now() + RELEASE_TIMEOUT);
         let appended = self.stream.append(&self.context.store, &self.context.clock, append).await;
-        info!(self.context.logger, "shard given up"; "shard" => self.shard,
+        info!(self.context.logger, "shard released"; "shard" => self.shard,
             "committed" => matches!(appended, Ok(AppendOutcome::Committed(_))));
     }
 }
--- a/crates/teaseltrack-agent/src/tasks/owner/leases.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/leases.rs
@@ -1,4 +1,4 @@
-//! Taking attempts back from instances whose lease is over.
+//! Reclaiming attempts from instances whose lease has ended.
 
 use std::{
     collections::BTreeSet,
@@ -20,16 +20,17 @@
 
 use crate::tasks::owner::{OwnedShard, ShardLost};
 
-/// Leases that are read one by one; more are read by listing all.
+/// Maximum number of leases read individually; a larger number is read by listing all leases.
 const MAX_SINGLE_READS: usize = 8;
 
 impl OwnedShard {
-    /// Takes back the attempts of instances whose lease has lapsed or begun anew.
+    /// Reclaims the attempts of instances whose lease was released, has lapsed or has a new
+    /// incarnation.
     pub(super) async fn check_leases(&mut self) -> Result<(), ShardLost> {
         let members = self.context.node.members();
         let present: BTreeSet<&str> =
             members.iter().map(|member| member.instance.as_str()).collect();
-        let suspicious: Vec<InstanceId> = self
+        let instances_to_check: Vec<InstanceId> = self
             .state
             .instances()
             .filter(|instance| {
@@ -37,16 +38,16 @@
             })
             .cloned()
             .collect();
-        self.lease_watches.retain(|instance, _| suspicious.contains(instance));
+        self.lease_watches.retain(|instance, _| instances_to_check.contains(instance));
         let sent_at = self.context.clock.now();
-        let Ok(rows) = self.read_leases(&suspicious).await else { return Ok(()) };
+        let Ok(rows) = self.read_leases(&instances_to_check).await else { return Ok(()) };
         for row in rows {
             self.check_lease(row, sent_at).await?;
         }
         Ok(())
     }
 
-    /// Leases of the instances: a few are read one by one, many by listing all.
+    /// Reads the leases of the instances.
     async fn read_leases(&self, instances: &[InstanceId]) -> Result<Vec<Row>, StoreError> {
         let keys: BTreeSet<String> =
             instances.iter().map(|instance| keys::lease(instance)).collect();
@@ -62,10 +63,10 @@
     }
 
     fn has_new_incarnation(&self, instance: &str) -> bool {
-        let Some(heard) = self.placer.incarnation(instance) else { return false };
+        let Some(reported) = self.placer.incarnation(instance) else { return false };
         self.state.placed_on(instance).any(|id| {
             let placement = self.state.task(id).and_then(|task| task.state.placement());
-            placement.is_some_and(|placement| placement.incarnation < heard)
+            placement.is_some_and(|placement| placement.incarnation < reported)
         })
     }
 
@@ -77,10 +78,10 @@
             .entry(instance.clone())
             .or_insert_with(|| LeaseWatch::new(row.version, sent_at));
         watch.observe(row.version, sent_at);
-        let is_over = lease.state != LeaseState::Held;
-        let is_lapsed = !is_over && watch.is_lapsed(Duration::from_millis(lease.ttl_ms));
+        let is_ended = lease.state != LeaseState::Held;
+        let is_lapsed = !is_ended && watch.is_lapsed(Duration::from_millis(lease.ttl_ms));
         let last_incarnation =
-            if is_over || is_lapsed { lease.incarnation } else { lease.incarnation - 1 };
+            if is_ended || is_lapsed { lease.incarnation } else { lease.incarnation - 1 };
         let lost: Vec<(TaskId, u32)> = self
             .state
             .placed_on(&instance)
@@ -93,24 +94,25 @@
         if lost.is_empty() {
             return Ok(());
         }
-        self.take_back(lost, &row, lease, is_lapsed).await
+        self.reclaim(lost, &row, lease, is_lapsed).await
     }
 
-    /// Commits that attempts are lost, together with the mark that their lease has lapsed.
-    async fn take_back(
+    /// Commits the release of lost attempts and, if their lease has lapsed, marks it in the same
+    /// transaction.
+    async fn reclaim(
         &mut self,
         lost: Vec<(TaskId, u32)>,
         row: &Row,
         lease: LeaseRow,
         is_lapsed: bool,
     ) -> Result<(), ShardLost> {
-        warn!(self.context.logger, "taking tasks back"; "instance" => &lease.instance,
+        warn!(self.context.logger, "reclaiming tasks"; "instance" => &lease.instance,
             "incarnation" => lease.incarnation, "count" => lost.len(), "lapsed" => is_lapsed);
         let conditions = vec![Condition { key: row.key.clone(), version: row.version }];
         let mut writes = Vec::new();
         if is_lapsed {
-            let marked = LeaseRow { state: LeaseState::Lapsed, ..lease.clone() };
-            writes.push(Write::put(row.key.clone(), &marked));
+            let lapsed_row = LeaseRow { state: LeaseState::Lapsed, ..lease.clone() };
+            writes.push(Write::put(row.key.clone(), &lapsed_row));
         }
         let reason = format!("lease {} of {} is over", lease.incarnation, lease.instance);
         let decisions: Vec<Decision> = lost
@@ -124,11 +126,11 @@
             Ok(AppendOutcome::Committed(_)) => {
                 for decision in &decisions {
                     let applied = self.state.apply(decision);
-                    assert!(applied.is_ok(), "committed decision doesn't apply: {applied:?}");
+                    assert!(applied.is_ok(), "committed decision can't be applied: {applied:?}");
                 }
                 Ok(())
             }
-            // The holder renewed in time: its tasks stay where they are.
+            // The lease row changed concurrently, normally by a renewal: the tasks stay placed.
             Ok(AppendOutcome::Conflict { .. }) => {
                 self.lease_watches.remove(&lease.instance);
                 Ok(())
--- a/crates/teaseltrack-agent/src/tasks/shard_manager.rs
+++ b/crates/teaseltrack-agent/src/tasks/shard_manager.rs
@@ -1,8 +1,9 @@
 //! Decides which job shards this agent owns.
 //!
-//! Every shard prefers agents in an order that all compute alike. The most preferred one takes a shard
-//! that has no owner, or whose owner the fleet takes to be gone; the second does so after a while. The
-//! epoch in the shard's head makes a wrong guess harmless.
+//! Each shard has a preference order of agents, which all agents compute identically. The first
+//! agent in this order acquires a shard that has no owner or whose owner is no longer a member; the
+//! second one does so after a delay. The epoch in the shard's head fences off the previous owner,
+//! so that an acquisition based on an incorrect view of the members is harmless.
 
 use std::{
     collections::BTreeMap,
@@ -32,29 +33,30 @@
 
 use crate::tasks::owner::{OwnerContext, OwnerMessage, ShardOwnerTask, run_owner};
 
-/// Messages that may wait for the task.
-pub const INBOX_MESSAGES: usize = 1_024;
-/// Time between looks at the shards.
-const PERIOD: Duration = Duration::from_secs(1);
-/// Time after which the second choice takes an ownerless shard.
-const SECOND_CHOICE_WAIT: Duration = Duration::from_secs(5);
-/// Time for which an owner that the fleet takes to be there is believed without reading the head.
-const OWNER_MEMORY: Duration = Duration::from_secs(5);
-/// Time after its start before an agent takes shards.
+/// Capacity of the task's message channel.
+pub const CHANNEL_CAPACITY: usize = 1_024;
+/// Mean interval between checks of the shards.
+const CHECK_PERIOD: Duration = Duration::from_secs(1);
+/// Time after which the second agent in the preference order acquires an ownerless shard.
+const SECONDARY_TAKEOVER_DELAY: Duration = Duration::from_secs(5);
+/// Time for which the cached owner of a shard is trusted, while it is a member, before the head is
+/// read again.
+const CACHE_TTL: Duration = Duration::from_secs(5);
+/// Delay after startup before an agent acquires shards.
 const START_GRACE: Duration = Duration::from_secs(2);
-/// Agents that may take a shard.
-const CANDIDATES: usize = 2;
-/// Messages that may wait for an owner.
-const OWNER_MESSAGES: usize = 1_024;
+/// Number of agents in the preference order that may acquire a shard.
+const MAX_CANDIDATES: usize = 2;
+/// Capacity of an owner's message channel.
+const OWNER_CHANNEL_CAPACITY: usize = 1_024;
 
 /// A message to the task.
 #[derive(Debug)]
 pub enum ShardMessage {
-    /// The shard's inbox holds something new.
+    /// The shard's inbox has new commands.
     Wake(ShardNumber),
-    /// An agent reports events.
+    /// An agent reports events; the reply is sent by the shard's owner.
     Report(ReportBatch, oneshot::Sender<Result<(), ErrorKind>>),
-    /// The agent stops; answered when all shards are given up.
+    /// The agent shuts down; the reply is sent when all shards are released.
     Drain(oneshot::Sender<()>),
 }
 
@@ -62,58 +64,60 @@
 pub struct ShardManager {
     logger: Logger,
     context: Arc<OwnerContext>,
-    owned: BTreeMap<ShardNumber, OwnedShard>,
+    owned: BTreeMap<ShardNumber, OwnerHandle>,
     ownerless_since: BTreeMap<ShardNumber, Instant>,
-    seen_owners: BTreeMap<ShardNumber, SeenOwner>,
-    /// Shards that this agent may take, with its rank, for the members in `agents`.
+    cached_owners: BTreeMap<ShardNumber, CachedOwner>,
+    /// Shards that this agent may acquire, with its rank in their preference order among `agents`.
     candidacies: Vec<(ShardNumber, usize)>,
     agents: Vec<InstanceId>,
 }
 
-/// A live owner, as last read from the shard's head.
-struct SeenOwner {
+/// Live owner of a shard, as last read from its head.
+struct CachedOwner {
     owner: Owner,
     read_at: Instant,
 }
 
-struct OwnedShard {
+struct OwnerHandle {
     sender: mpsc::Sender<OwnerMessage>,
     ended: CancellationToken,
 }
 
 impl ShardManager {
-    /// Owns nothing yet.
+    /// Creates a manager that owns no shards.
     pub fn new(logger: Logger, context: Arc<OwnerContext>) -> Self {
         Self {
             logger,
             context,
             owned: BTreeMap::new(),
             ownerless_since: BTreeMap::new(),
-            seen_owners: BTreeMap::new(),
+            cached_owners: BTreeMap::new(),
             candidacies: Vec::new(),
             agents: Vec::new(),
         }
     }
 
-    /// Runs until the agent stops.
+    /// Runs until the agent shuts down.
     pub async fn run(mut self, mut receiver: mpsc::Receiver<ShardMessage>) {
-        // An agent that has just started knows too few others to tell who is preferred.
-        let mut look_at = Instant::now() + START_GRACE;
+        // An agent that has just started doesn't know enough members to compute the preference
+        // order.
+        let mut next_check_at = Instant::now() + START_GRACE;
         loop {
             tokio::select! {
                 message = receiver.recv() => match message {
                     Some(ShardMessage::Drain(reply)) => {
-                        self.give_up_all().await;
+                        self.release_all().await;
                         reply.send(()).ok();
                         return;
                     }
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                () = sleep_until(look_at.into()) => {
-                    look_at = Instant::now() + PERIOD.mul_f64(rand::rng().random_range(0.8..1.2));
-                    if let Err(error) = self.look().await {
-                        debug!(self.logger, "no look at the shards"; "error" => %error);
+                () = sleep_until(next_check_at.into()) => {
+                    next_check_at =
+                        Instant::now() + CHECK_PERIOD.mul_f64(rand::rng().random_range(0.8..1.2));
+                    if let Err(error) = self.check_shards().await {
+                        debug!(self.logger, "shard check failed"; "error" => %error);
                     }
                 }
             }
@@ -132,7 +136,7 @@
                     reply.send(Err(ErrorKind::NotFound)).ok();
                     return;
                 };
-                // A full inbox drops the reply, and the agent reports again.
+                // A full channel drops the reply, and the reporting agent retries.
                 owned.sender.try_send(OwnerMessage::Report(batch, reply)).ok();
             }
             ShardMessage::Drain(reply) => {
@@ -141,19 +145,19 @@
         }
     }
 
-    async fn look(&mut self) -> Result<(), StoreError> {
+    async fn check_shards(&mut self) -> Result<(), StoreError> {
         self.owned.retain(|_, owned| !owned.ended.is_cancelled());
-        self.follow_members();
+        self.update_candidacies();
         for (shard, rank) in self.candidacies.clone() {
             if !self.owned.contains_key(&shard) {
-                self.consider(shard, rank).await?;
+                self.check_shard(shard, rank).await?;
             }
         }
         Ok(())
     }
 
-    /// Works out anew which shards this agent may take, if other agents are there than before.
-    fn follow_members(&mut self) {
+    /// Recomputes which shards this agent may acquire if the set of agents has changed.
+    fn update_candidacies(&mut self) {
         let members = self.context.node.members();
         let agents: Vec<InstanceId> = members
             .iter()
@@ -168,17 +172,17 @@
             .filter_map(|shard| {
                 let preferred = preferred_owners(shard, agents.iter());
                 let rank = preferred.iter().position(|agent| *agent == own)?;
-                (rank < CANDIDATES).then_some((shard, rank))
+                (rank < MAX_CANDIDATES).then_some((shard, rank))
             })
             .collect();
         self.agents = agents;
     }
 
-    async fn consider(&mut self, shard: ShardNumber, rank: usize) -> Result<(), StoreError> {
+    async fn check_shard(&mut self, shard: ShardNumber, rank: usize) -> Result<(), StoreError> {
         let is_known_live = self
-            .seen_owners
+            .cached_owners
             .get(&shard)
-            .is_some_and(|seen| seen.read_at.elapsed() < OWNER_MEMORY && self.is_live(&seen.owner));
+            .is_some_and(|entry| entry.read_at.elapsed() < CACHE_TTL && self.is_live(&entry.owner));
         if is_known_live {
             return Ok(());
         }
@@ -186,25 +190,25 @@
         let head: StreamHead = row.as_ref().map(Row::parse).transpose()?.unwrap_or_default();
         if let Some(owner) = head.owner.filter(|owner| self.is_live(owner)) {
             self.ownerless_since.remove(&shard);
-            self.seen_owners.insert(shard, SeenOwner { owner, read_at: Instant::now() });
+            self.cached_owners.insert(shard, CachedOwner { owner, read_at: Instant::now() });
             return Ok(());
         }
         let since = *self.ownerless_since.entry(shard).or_insert_with(Instant::now);
-        if rank == 0 || since.elapsed() >= SECOND_CHOICE_WAIT {
+        if rank == 0 || since.elapsed() >= SECONDARY_TAKEOVER_DELAY {
             self.ownerless_since.remove(&shard);
-            self.take(shard);
+            self.start_owner(shard);
         }
         Ok(())
     }
 
-    /// Whether an owner may still act; an earlier process of this instance may not.
+    /// Whether an owner may still be active; an earlier process of this instance is not.
     fn is_live(&self, owner: &Owner) -> bool {
         owner.instance != self.context.owner.instance && self.agents.contains(&owner.instance)
     }
 
-    fn take(&mut self, shard: ShardNumber) {
-        info!(self.logger, "taking a shard"; "shard" => shard);
-        let (sender, receiver) = mpsc::channel(OWNER_MESSAGES);
+    fn start_owner(&mut self, shard: ShardNumber) {
+        info!(self.logger, "acquiring shard"; "shard" => shard);
+        let (sender, receiver) = mpsc::channel(OWNER_CHANNEL_CAPACITY);
         let ended = CancellationToken::new();
         let guard = ended.clone().drop_guard();
         let context = self.context.clone();
@@ -212,12 +216,12 @@
             run_owner(ShardOwnerTask { shard, context, receiver }).await;
             drop(guard);
         });
-        self.owned.insert(shard, OwnedShard { sender, ended });
+        self.owned.insert(shard, OwnerHandle { sender, ended });
     }
 
-    async fn give_up_all(&mut self) {
+    async fn release_all(&mut self) {
         for owned in std::mem::take(&mut self.owned).into_values() {
-            owned.sender.send(OwnerMessage::GiveUp).await.ok();
+            owned.sender.send(OwnerMessage::Release).await.ok();
             owned.ended.cancelled().await;
         }
     }
