--- a/crates/teaseltrack-entry/src/callers.rs
+++ b/crates/teaseltrack-entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! Requests from callers: parsed, admitted by quota, sent to an agent, retried where that is safe.
+//! Request path for callers: parsing, quota admission, routing to an agent, and safe retries.
 
 pub mod agent_connection;
 pub mod attempt;
--- a/crates/teaseltrack-entry/src/callers/agent_connection.rs
+++ b/crates/teaseltrack-entry/src/callers/agent_connection.rs
@@ -1,4 +1,4 @@
-//! HTTP/2 connections to agents, and the proof of what wasn't sent.
+//! HTTP/2 connections to agents, and detection of requests that were certainly not sent.
 
 use std::{
     collections::HashMap,
@@ -24,56 +24,56 @@
 use tonic::body::Body;
 use tower_service::Service;
 
-/// Time to connect.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between pings on a busy connection.
+/// Interval of keep-alive pings on a connection with open streams.
 const KEEP_ALIVE_PERIOD: Duration = Duration::from_secs(2);
-/// Time for the answer to a ping.
+/// Timeout for the response to a keep-alive ping.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Window of one answer's body, in bytes.
+/// Flow-control window of one response, in bytes.
 const STREAM_WINDOW_BYTES: u32 = 256 << 10;
-/// Window of all answers on a connection, in bytes.
+/// Flow-control window of all responses on a connection, in bytes.
 const CONNECTION_WINDOW_BYTES: u32 = 4 << 20;
 
-type Slot = Arc<tokio::sync::Mutex<Option<SendRequest<Body>>>>;
+type CachedConnection = Arc<tokio::sync::Mutex<Option<SendRequest<Body>>>>;
 
-/// One connection to each agent.
+/// Connection pool with one connection per agent.
 #[derive(Clone, Debug, Default)]
 pub struct AgentConnections {
-    slots: Arc<Mutex<HashMap<SocketAddr, Slot>>>,
+    cache: Arc<Mutex<HashMap<SocketAddr, CachedConnection>>>,
 }
 
 impl AgentConnections {
-    /// A connection that is ready to send.
+    /// Returns a connection that is ready to send, and opens one if necessary.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unreachable`]: nothing was sent.
+    /// [`ErrorKind::Unreachable`] if the connection failed, so that nothing was sent.
     pub async fn connection(&self, agent: SocketAddr) -> Result<AgentCall, ErrorKind> {
-        let slot = self.slot(agent);
-        let mut held = slot.lock().await;
-        if let Some(sender) = held.as_mut()
+        let connection = self.cached_connection(agent);
+        let mut cached = connection.lock().await;
+        if let Some(sender) = cached.as_mut()
             && !sender.is_closed()
             && sender.ready().await.is_ok()
         {
             return Ok(AgentCall::new(sender.clone()));
         }
         let sender = connect(agent).await?;
-        *held = Some(sender.clone());
+        *cached = Some(sender.clone());
         Ok(AgentCall::new(sender))
     }
 
-    /// Drops the connections to agents for which `is_live` is false.
+    /// Closes the connections to agents for which `is_live` returns false.
     pub fn retain(&self, is_live: impl Fn(&SocketAddr) -> bool) {
         self.lock().retain(|agent, _| is_live(agent));
     }
 
-    fn slot(&self, agent: SocketAddr) -> Slot {
+    fn cached_connection(&self, agent: SocketAddr) -> CachedConnection {
         self.lock().entry(agent).or_default().clone()
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Slot>> {
-        self.slots.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, CachedConnection>> {
+        self.cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -94,7 +94,7 @@
     Ok(sender)
 }
 
-/// One call on a connection, as tonic wants it.
+/// One call on a connection, as a service for tonic.
 #[derive(Clone, Debug)]
 pub struct AgentCall {
     sender: SendRequest<Body>,
@@ -106,8 +106,8 @@
         Self { sender, is_not_sent: Arc::default() }
     }
 
-    /// Tells after a failed call whether it is proved that nothing was sent.
-    pub fn proof(&self) -> Arc<AtomicBool> {
+    /// Flag that is set when a call has failed and certainly wasn't sent or processed.
+    pub fn not_sent_flag(&self) -> Arc<AtomicBool> {
         self.is_not_sent.clone()
     }
 }
@@ -130,15 +130,16 @@
         let is_not_sent = self.is_not_sent.clone();
         Box::pin(async move {
             sending.await.map_err(|mut error| {
-                let is_proved = error.take_message().is_some() || is_refused_stream(error.error());
-                is_not_sent.store(is_proved, Ordering::Relaxed);
+                let is_confirmed =
+                    error.take_message().is_some() || is_refused_stream(error.error());
+                is_not_sent.store(is_confirmed, Ordering::Relaxed);
                 error.into_error()
             })
         })
     }
 }
 
-/// Whether the agent refused the stream, which proves that it didn't process it (RFC 9113, 8.7).
+/// Whether the agent refused the stream, which guarantees that it wasn't processed (RFC 9113, 8.7).
 fn is_refused_stream(error: &hyper::Error) -> bool {
     let source = std::error::Error::source(error).and_then(|source| source.downcast_ref());
     source.is_some_and(|error: &h2::Error| error.reason() == Some(h2::Reason::REFUSED_STREAM))
--- a/crates/teaseltrack-entry/src/callers/attempt.rs
+++ b/crates/teaseltrack-entry/src/callers/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one agent, and the head of its answer.
+//! A single attempt: sends a request to one agent and receives the head of the response.
 
 use std::{
     sync::atomic::Ordering,
@@ -20,22 +20,22 @@
     dispatcher::{AttemptEnd, AttemptGuard, ChosenTarget},
 };
 
-/// Bytes of one chunk of a request's body.
+/// Size of the chunks of a request body, in bytes.
 const CHUNK_BYTES: usize = 64 << 10;
-/// Largest frame of an answer, in bytes.
+/// Maximum size of a response frame, in bytes.
 const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// Scheme and authority that HTTP/2 wants named; the connection says which agent it is.
+/// Scheme and authority required by HTTP/2; the agent is determined by the connection.
 const ORIGIN: &str = "http://agent";
 
-/// Why an attempt failed.
+/// Failure of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptFailure {
-    /// How.
+    /// Error kind of the failure.
     pub kind: ErrorKind,
-    /// What went wrong.
+    /// Description of the failure, returned to the caller.
     pub detail: String,
-    /// When the agent thinks that another try may do better.
+    /// Delay after which a retry may succeed, if the agent sent one.
     pub retry_after: Option<Duration>,
 }
 
@@ -45,60 +45,61 @@
     }
 }
 
-/// An answer whose head has come.
+/// Response whose head has been received.
 #[derive(Debug)]
-pub struct BegunAnswer {
-    /// The head.
+pub struct StartedResponse {
+    /// Status and headers.
     pub head: AnswerHead,
-    /// The rest.
+    /// Remaining frames: the body and the end of the response.
     pub frames: Streaming<AnswerFrame>,
-    /// Counts the attempt.
+    /// Guard of the attempt, to be ended with its result.
     pub guard: AttemptGuard,
-    /// When the attempt began.
+    /// Start time of the attempt.
     pub started_at: Instant,
 }
 
-/// What attempts need.
+/// Dependencies of attempts.
 #[derive(Clone)]
 pub struct AttemptContext {
-    /// Connections to agents.
+    /// Connection pool.
     pub connections: AgentConnections,
-    /// Clock.
+    /// Time source.
     pub clock: SharedClock,
 }
 
-/// Sends a request to the chosen agent and waits until `patience_end` for the head of the answer.
+/// Sends a request to the chosen agent and waits for the head of the response until
+/// `attempt_deadline`.
 ///
 /// # Errors
 ///
-/// The failure; its kind tells whether the request is proved not to have run.
+/// The attempt failed; the kind's outcome is `NotRun` only if the request certainly didn't run.
 pub async fn attempt(
     context: &AttemptContext,
     chosen: ChosenTarget,
     guard: AttemptGuard,
     head: RequestHead,
     body: Bytes,
-    patience_end: Instant,
-) -> Result<BegunAnswer, AttemptFailure> {
+    attempt_deadline: Instant,
+) -> Result<StartedResponse, AttemptFailure> {
     let started_at = context.clock.now();
     let sending = send(context, &chosen, head.clone(), body);
-    let result = match timeout_at(patience_end.into(), sending).await {
+    let result = match timeout_at(attempt_deadline.into(), sending).await {
         Ok(result) => result,
         Err(_) => Err((AttemptFailure::new(ErrorKind::AnswerLost, "no answer in time"), None)),
     };
-    let (answer_head, frames) = match result {
-        Ok(begun) => begun,
+    let (response_head, frames) = match result {
+        Ok(started) => started,
         Err((failure, load)) => {
-            guard.end(end_of(&failure, load, context.clock.now().duration_since(started_at)));
+            guard.end(attempt_end(&failure, load, context.clock.now().duration_since(started_at)));
             return Err(failure);
         }
     };
-    if answer_head.request_id != head.request_id {
+    if response_head.request_id != head.request_id {
         guard.end(AttemptEnd::Failed(context.clock.now().duration_since(started_at)));
         let detail = "the agent answered another request";
         return Err(AttemptFailure::new(ErrorKind::AnswerMismatched, detail));
     }
-    Ok(BegunAnswer { head: answer_head, frames, guard, started_at })
+    Ok(StartedResponse { head: response_head, frames, guard, started_at })
 }
 
 type FailureWithLoad = (AttemptFailure, Option<LoadReport>);
@@ -114,19 +115,19 @@
         .connection(chosen.agent)
         .await
         .map_err(|kind| (AttemptFailure::new(kind, "the agent can't be reached"), None))?;
-    let proof = call.proof();
+    let not_sent_flag = call.not_sent_flag();
     let mut client = RequestPathClient::with_origin(call, Uri::from_static(ORIGIN))
         .max_decoding_message_size(MAX_FRAME_BYTES);
     let failure = |status: Status| {
-        let is_not_sent = proof.load(Ordering::Relaxed);
-        (failure_of(&status, is_not_sent), None)
+        let is_not_sent = not_sent_flag.load(Ordering::Relaxed);
+        (failure_from_status(&status, is_not_sent), None)
     };
     let response = client.forward(request_frames(head, body)).await.map_err(&failure)?;
     let mut frames = response.into_inner();
     let first = frames.message().await.map_err(&failure)?.and_then(|frame| frame.frame);
     match first {
         Some(answer_frame::Frame::Head(head)) => Ok((head, frames)),
-        Some(answer_frame::Frame::Refusal(refusal)) => Err(refused(refusal)),
+        Some(answer_frame::Frame::Refusal(refusal)) => Err(failure_from_refusal(refusal)),
         _ => Err((AttemptFailure::new(ErrorKind::AnswerLost, "the agent sent no head"), None)),
     }
 }
@@ -143,19 +144,19 @@
     tokio_stream::iter(frames.map(|frame| RequestFrame { frame: Some(frame) }))
 }
 
-fn failure_of(status: &Status, is_not_sent: bool) -> AttemptFailure {
+fn failure_from_status(status: &Status, is_not_sent: bool) -> AttemptFailure {
     let kind = if is_not_sent { ErrorKind::Unreachable } else { ErrorKind::AnswerLost };
     AttemptFailure::new(kind, status.message())
 }
 
-fn refused(refusal: Refusal) -> FailureWithLoad {
+fn failure_from_refusal(refusal: Refusal) -> FailureWithLoad {
     let kind = ErrorKind::from_name(&refusal.kind).unwrap_or(ErrorKind::AnswerLost);
     let retry_after = Duration::from_millis(u64::from(refusal.retry_after_ms));
     let failure = AttemptFailure { kind, detail: refusal.detail, retry_after: Some(retry_after) };
     (failure, refusal.load.map(load_report))
 }
 
-/// Load as it travels.
+/// Converts a load report from its wire format.
 pub fn load_report(load: teaseltrack_wire::request_path::LoadReport) -> LoadReport {
     LoadReport {
         in_flight: load.in_flight,
@@ -165,8 +166,13 @@
     }
 }
 
-/// A refusal by the agent says nothing bad about the target; a lost answer does.
-fn end_of(failure: &AttemptFailure, load: Option<LoadReport>, elapsed: Duration) -> AttemptEnd {
+/// Classifies a failed attempt: a refusal by the agent doesn't count as a failure of the target, a
+/// lost response does.
+fn attempt_end(
+    failure: &AttemptFailure,
+    load: Option<LoadReport>,
+    elapsed: Duration,
+) -> AttemptEnd {
     let is_refusal = load.is_some()
         && !matches!(
             failure.kind,
--- a/crates/teaseltrack-entry/src/callers/dispatcher.rs
+++ b/crates/teaseltrack-entry/src/callers/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The task that owns the entry's hints: targets and their load, quotas and retry budgets.
+//! Task that owns the entry's routing state: targets and their load, quotas and retry budgets.
 
 use std::{
     collections::BTreeMap,
@@ -20,92 +20,93 @@
 use teaseltrack_node::node::NodeHandle;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that may wait for the task.
-const INBOX_MESSAGES: usize = 8_192;
+/// Maximum number of queued messages to the task.
+const CHANNEL_CAPACITY: usize = 8_192;
 
-/// A chosen target and the address of its agent.
+/// Target chosen for an attempt.
 #[derive(Clone, Debug)]
 pub struct ChosenTarget {
-    /// The target.
+    /// Key of the target.
     pub key: TargetKey,
-    /// Where its agent takes requests.
+    /// Request address of its agent.
     pub agent: SocketAddr,
-    /// Time that the target is expected to take.
+    /// Expected latency of the target.
     pub expected_latency: Duration,
 }
 
-/// How an attempt ended, for the hints.
+/// Result of an attempt, used to update the routing state.
 #[derive(Clone, Copy, Debug)]
 pub enum AttemptEnd {
-    /// The target answered whole.
-    Answered(Duration, Option<LoadReport>),
-    /// The agent refused.
+    /// The complete response was received.
+    Completed(Duration, Option<LoadReport>),
+    /// The agent refused the request.
     Refused(Option<LoadReport>),
-    /// No answer, or not a whole one.
+    /// No response was received, or an incomplete one.
     Failed(Duration),
-    /// The caller went away, or another attempt was faster.
+    /// The caller disconnected, or another attempt was faster.
     Abandoned,
 }
 
-/// A target that is wanted.
+/// Request for a target.
 #[derive(Debug)]
 pub struct TargetRequest {
-    /// The service.
+    /// Requested service.
     pub service: ServiceName,
-    /// Targets that were tried.
+    /// Targets of earlier attempts, which are excluded.
     pub tried: Vec<TargetKey>,
-    /// Takes the end of the attempt.
-    pub ends: mpsc::Sender<DispatchMessage>,
-    /// Gets the target; the guard counts the attempt even if nobody waits for it any more.
+    /// Sender for the end of the attempt.
+    pub end_sender: mpsc::Sender<DispatchMessage>,
+    /// Receives the target; if the receiver was dropped, the guard ends the attempt as abandoned.
     pub reply: oneshot::Sender<Option<(ChosenTarget, AttemptGuard)>>,
 }
 
-/// A message to the task.
+/// Message to the task.
 #[derive(Debug)]
 pub enum DispatchMessage {
-    /// A request of the team comes in; replies with the wait if its quota is used up.
+    /// Admits a request of a team, or replies with the time until its quota has recovered.
     Admit(TeamName, Class, oneshot::Sender<Result<(), Duration>>),
-    /// A target is wanted, none of those tried if another is left.
+    /// Chooses a target for an attempt.
     Choose(TargetRequest),
-    /// An attempt ended.
+    /// Records the end of an attempt.
     End(TargetKey, AttemptEnd),
-    /// A failed attempt may be made again after the wait that is replied.
+    /// Replies with the backoff before a retry; `None` if the failed attempt isn't retried.
     Retry(Class, FailedAttempt, oneshot::Sender<Option<Duration>>),
-    /// A second attempt may be sent beside the first.
+    /// Replies whether the retry budget allows a hedge.
     Hedge(Class, oneshot::Sender<bool>),
 }
 
-/// Sender to the task, cheap to clone.
+/// Handle to the task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct DispatchHandle {
     sender: mpsc::Sender<DispatchMessage>,
 }
 
 impl DispatchHandle {
-    /// Sends a message and waits for the reply; `None` when the task has ended.
-    pub async fn ask<T>(
+    /// Sends a message and waits for the reply; `None` if the task has ended.
+    pub async fn request<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> DispatchMessage,
     ) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.sender.send(message(reply)).await.ok()?;
-        answer.await.ok()
+        response.await.ok()
     }
 
-    /// Chooses a target; the attempt counts until the guard ends.
+    /// Chooses a target other than those in `tried`; the guard ends the attempt.
     pub async fn choose(
         &self,
         service: &str,
         tried: &[TargetKey],
     ) -> Option<(ChosenTarget, AttemptGuard)> {
         let (service, tried) = (service.to_owned(), tried.to_vec());
-        let ends = self.sender.clone();
-        let wanted = |reply| DispatchMessage::Choose(TargetRequest { service, tried, ends, reply });
-        self.ask(wanted).await.flatten()
+        let end_sender = self.sender.clone();
+        let message =
+            |reply| DispatchMessage::Choose(TargetRequest { service, tried, end_sender, reply });
+        self.request(message).await.flatten()
     }
 }
 
-/// Counts an attempt until it ends; dropped without an end, the attempt counts as abandoned.
+/// Outstanding attempt; recorded as abandoned if dropped without a result.
 #[derive(Debug)]
 pub struct AttemptGuard {
     key: Option<TargetKey>,
@@ -113,7 +114,7 @@
 }
 
 impl AttemptGuard {
-    /// Ends the attempt.
+    /// Ends the attempt with its result.
     pub fn end(mut self, end: AttemptEnd) {
         self.send(end);
     }
@@ -138,24 +139,24 @@
     clock: SharedClock,
     zone: ZoneName,
     router: Router,
-    agents: BTreeMap<TargetKey, SocketAddr>,
+    agent_addresses: BTreeMap<TargetKey, SocketAddr>,
     quotas: Quotas,
-    entries: u32,
-    budgets: BTreeMap<Class, RetryBudget>,
+    entry_count: u32,
+    retry_budgets: BTreeMap<Class, RetryBudget>,
     configuration: Arc<Configuration>,
 }
 
-/// Starts the task.
+/// Starts the dispatcher task.
 pub fn spawn_dispatcher(node: NodeHandle, zone: ZoneName, clock: SharedClock) -> DispatchHandle {
-    let (sender, receiver) = mpsc::channel(INBOX_MESSAGES);
+    let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let task = DispatchTask {
         clock,
         zone,
         router: Router::default(),
-        agents: BTreeMap::new(),
+        agent_addresses: BTreeMap::new(),
         quotas: Quotas::default(),
-        entries: 1,
-        budgets: CLASSES.into_iter().map(|class| (class, RetryBudget::default())).collect(),
+        entry_count: 1,
+        retry_budgets: CLASSES.into_iter().map(|class| (class, RetryBudget::default())).collect(),
         configuration: node.configuration(),
     };
     tokio::spawn(task.run(receiver, node));
@@ -166,7 +167,7 @@
     async fn run(mut self, mut receiver: mpsc::Receiver<DispatchMessage>, node: NodeHandle) {
         let mut members = node.watch_members();
         let mut configuration = node.watch_configuration();
-        self.take_in_members(&node.members());
+        self.update_members(&node.members());
         loop {
             tokio::select! {
                 message = receiver.recv() => match message {
@@ -178,7 +179,7 @@
                         return;
                     }
                     let members = members.borrow_and_update().clone();
-                    self.take_in_members(&members);
+                    self.update_members(&members);
                 }
                 changed = configuration.changed() => {
                     if changed.is_err() {
@@ -195,36 +196,36 @@
             DispatchMessage::Admit(team, class, reply) => {
                 reply.send(self.admit(&team, class)).ok();
             }
-            DispatchMessage::Choose(TargetRequest { service, tried, ends, reply }) => {
+            DispatchMessage::Choose(TargetRequest { service, tried, end_sender, reply }) => {
                 let chosen = self.choose(&service, &tried).map(|chosen| {
-                    let guard = AttemptGuard { key: Some(chosen.key), sender: ends };
+                    let guard = AttemptGuard { key: Some(chosen.key), sender: end_sender };
                     (chosen, guard)
                 });
                 reply.send(chosen).ok();
             }
             DispatchMessage::End(key, end) => self.end(key, end),
             DispatchMessage::Retry(class, failed, reply) => {
-                let budget = self.budgets.entry(class).or_default();
+                let budget = self.retry_budgets.entry(class).or_default();
                 reply.send(backoff_before_retry(&failed, budget, &mut rand::rng())).ok();
             }
             DispatchMessage::Hedge(class, reply) => {
-                reply.send(self.budgets.entry(class).or_default().withdraw()).ok();
+                reply.send(self.retry_budgets.entry(class).or_default().withdraw()).ok();
             }
         }
     }
 
     fn admit(&mut self, team: &str, class: Class) -> Result<(), Duration> {
         if let Some(quota) = self.configuration.quota(team) {
-            self.quotas.take(team, quota, self.entries, self.clock.now())?;
+            self.quotas.take(team, quota, self.entry_count, self.clock.now())?;
         }
-        self.budgets.entry(class).or_default().deposit();
+        self.retry_budgets.entry(class).or_default().deposit();
         Ok(())
     }
 
     fn choose(&mut self, service: &str, tried: &[TargetKey]) -> Option<ChosenTarget> {
         let now = self.clock.now();
         let key = self.router.choose(service, &self.zone, tried, now, &mut rand::rng())?;
-        let agent = *self.agents.get(&key)?;
+        let agent = *self.agent_addresses.get(&key)?;
         let expected_latency = self.router.expected_latency(key, now);
         self.router.begin_attempt(key);
         Some(ChosenTarget { key, agent, expected_latency })
@@ -233,7 +234,7 @@
     fn end(&mut self, key: TargetKey, end: AttemptEnd) {
         let now: Instant = self.clock.now();
         match end {
-            AttemptEnd::Answered(latency, load) => {
+            AttemptEnd::Completed(latency, load) => {
                 self.router.record_response(key, latency, load, now);
             }
             AttemptEnd::Refused(load) => self.router.end_unmeasured_attempt(key, load),
@@ -242,17 +243,18 @@
         }
     }
 
-    fn take_in_members(&mut self, members: &[Member]) {
+    fn update_members(&mut self, members: &[Member]) {
         let now = self.clock.now();
-        self.entries = members.iter().filter(|member| member.role == Role::Entry).count() as u32;
-        let with_target: BTreeMap<&str, &Member> = members
+        self.entry_count =
+            members.iter().filter(|member| member.role == Role::Entry).count() as u32;
+        let target_members: BTreeMap<&str, &Member> = members
             .iter()
             .filter(|member| member.target.is_some())
             .map(|member| (member.instance.as_str(), member))
             .collect();
-        self.router.retain(|instance| with_target.contains_key(instance));
-        self.agents.retain(|key, _| self.router.info(*key).is_some());
-        for member in with_target.values() {
+        self.router.retain(|instance| target_members.contains_key(instance));
+        self.agent_addresses.retain(|key, _| self.router.info(*key).is_some());
+        for member in target_members.values() {
             let (Some(target), Ok(agent)) = (&member.target, member.request_address.parse()) else {
                 continue;
             };
@@ -265,8 +267,8 @@
             };
             let key = self.router.upsert(info, now);
             self.router.set_suspected(key, member.state == MemberState::Suspect);
-            self.agents.insert(key, agent);
+            self.agent_addresses.insert(key, agent);
         }
-        self.agents.retain(|key, _| self.router.info(*key).is_some());
+        self.agent_addresses.retain(|key, _| self.router.info(*key).is_some());
     }
 }
--- a/crates/teaseltrack-entry/src/callers/parse.rs
+++ b/crates/teaseltrack-entry/src/callers/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request.
+//! Parsing of callers' requests.
 
 use std::time::Duration;
 
@@ -11,48 +11,49 @@
 use teaseltrack_daemon::problem::Problem;
 use teaseltrack_wire::{headers, request_path::Header};
 
-/// Longest time-out that a caller may ask for, in milliseconds.
+/// Maximum timeout that a caller may request, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 600_000;
-/// Longest request identifier, in bytes.
+/// Maximum length of a request identifier, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 128;
-/// Team of a request that names none.
+/// Team of requests without a team header.
 const DEFAULT_TEAM: &str = "default";
 
-/// A caller's request, its body left aside.
+/// Head of a caller's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerRequest {
-    /// Identifier, the caller's or a new one.
+    /// Request identifier; generated if the caller sent none.
     pub request_id: String,
-    /// Service that it is for.
+    /// Requested service.
     pub service: String,
     /// HTTP method.
     pub method: Method,
-    /// Path and query below the service.
+    /// Path and query without the service prefix.
     pub path_and_query: String,
-    /// Headers for the target.
+    /// Headers to forward to the target.
     pub headers: Vec<Header>,
-    /// Time-out that the caller asks for.
+    /// Timeout requested by the caller.
     pub timeout: Option<Duration>,
-    /// RFC 9218 urgency.
+    /// RFC 9218 urgency, 0 (most urgent) to 7.
     pub urgency: u32,
-    /// Team that pays.
+    /// Team that the request is charged to.
     pub team: String,
-    /// The caller's trace context.
+    /// Trace context of the caller.
     pub traceparent: Option<String>,
 }
 
-/// Reads a request's head.
+/// Parses the head of a request.
 ///
 /// # Errors
 ///
-/// A header or path with an impossible value; the detail names it.
+/// A header or the path has an invalid value; the detail names it.
 pub fn parse_request(parts: &Parts) -> Result<CallerRequest, Problem> {
     let map = &parts.headers;
     let request_id = request_id(map)?;
     let (service, path_and_query) = split_path(parts)
         .ok_or_else(|| invalid("path: must be /{service}/{path}").with_request_id(&request_id))?;
-    let fields =
-        || -> Result<_, Problem> { Ok((timeout(map)?, urgency(map)?, text(map, headers::TEAM)?)) };
+    let fields = || -> Result<_, Problem> {
+        Ok((timeout(map)?, urgency(map)?, header_text(map, headers::TEAM)?))
+    };
     let (timeout, urgency, team) =
         fields().map_err(|problem| problem.with_request_id(&request_id))?;
     Ok(CallerRequest {
@@ -63,7 +64,7 @@
         timeout,
         urgency,
         team: team.unwrap_or(DEFAULT_TEAM).to_owned(),
-        traceparent: text(map, headers::TRACEPARENT)?.map(str::to_owned),
+        traceparent: header_text(map, headers::TRACEPARENT)?.map(str::to_owned),
         request_id,
     })
 }
@@ -82,40 +83,40 @@
     Some((service.to_owned(), format!("/{path}{query}")))
 }
 
-fn text<'a>(map: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
+fn header_text<'a>(map: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
     map.get(name)
         .map(|value| value.to_str().map_err(|_| invalid(format!("{name}: must be plain text"))))
         .transpose()
 }
 
 fn request_id(map: &HeaderMap) -> Result<String, Problem> {
-    let Some(given) = text(map, headers::REQUEST_ID)? else {
+    let Some(value) = header_text(map, headers::REQUEST_ID)? else {
         return Ok(format!("{:032x}", rand::rng().random::<u128>()));
     };
-    if given.is_empty() || given.len() > MAX_REQUEST_ID_BYTES {
+    if value.is_empty() || value.len() > MAX_REQUEST_ID_BYTES {
         let name = headers::REQUEST_ID;
         return Err(invalid(format!("{name}: must be 1 to {MAX_REQUEST_ID_BYTES} bytes")));
     }
-    Ok(given.to_owned())
+    Ok(value.to_owned())
 }
 
 fn timeout(map: &HeaderMap) -> Result<Option<Duration>, Problem> {
     let name = headers::TIMEOUT_MS;
-    let Some(given) = text(map, name)? else { return Ok(None) };
+    let Some(value) = header_text(map, name)? else { return Ok(None) };
     let range = 1..=MAX_TIMEOUT_MS;
-    match given.parse::<u64>() {
+    match value.parse::<u64>() {
         Ok(timeout_ms) if range.contains(&timeout_ms) => {
             Ok(Some(Duration::from_millis(timeout_ms)))
         }
-        _ => Err(invalid(format!("{name}: `{given}` must be a number from 1 to {MAX_TIMEOUT_MS}"))),
+        _ => Err(invalid(format!("{name}: `{value}` must be a number from 1 to {MAX_TIMEOUT_MS}"))),
     }
 }
 
-/// Urgency of the `Priority` header (RFC 9218); its other parameters are passed on unread.
+/// Urgency from the `Priority` header (RFC 9218); other parameters are forwarded without parsing.
 fn urgency(map: &HeaderMap) -> Result<u32, Problem> {
     let name = headers::PRIORITY;
-    let Some(given) = text(map, name)? else { return Ok(DEFAULT_URGENCY) };
-    let urgency = given.split(',').map(str::trim).find_map(|part| part.strip_prefix("u="));
+    let Some(value) = header_text(map, name)? else { return Ok(DEFAULT_URGENCY) };
+    let urgency = value.split(',').map(str::trim).find_map(|part| part.strip_prefix("u="));
     let Some(urgency) = urgency else { return Ok(DEFAULT_URGENCY) };
     match urgency.parse::<u32>() {
         Ok(urgency) if urgency <= MAX_URGENCY => Ok(urgency),
@@ -123,9 +124,9 @@
     }
 }
 
-/// All headers but those that are about the connection or that the agent sets itself.
+/// All headers except connection-specific ones and those set by the agent.
 fn forwarded_headers(map: &HeaderMap) -> Vec<Header> {
-    let named_by_connection: Vec<String> = map
+    let connection_options: Vec<String> = map
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -134,7 +135,7 @@
         .collect();
     map.iter()
         .filter(|(name, _)| {
-            !is_own(name) && !named_by_connection.iter().any(|own| own == name.as_str())
+            !is_excluded(name) && !connection_options.iter().any(|option| option == name.as_str())
         })
         .map(|(name, value)| Header {
             name: name.as_str().to_owned(),
@@ -143,8 +144,8 @@
         .collect()
 }
 
-fn is_own(name: &HeaderName) -> bool {
-    let about_connection = [
+fn is_excluded(name: &HeaderName) -> bool {
+    let connection_specific = [
         header::CONNECTION,
         header::CONTENT_LENGTH,
         header::EXPECT,
@@ -155,5 +156,5 @@
     ];
     let set_by_agent =
         ["keep-alive", headers::REQUEST_ID, headers::TIMEOUT_MS, headers::TRACEPARENT];
-    about_connection.contains(name) || set_by_agent.contains(&name.as_str())
+    connection_specific.contains(name) || set_by_agent.contains(&name.as_str())
 }
--- a/crates/teaseltrack-entry/src/callers/server.rs
+++ b/crates/teaseltrack-entry/src/callers/server.rs
@@ -1,4 +1,4 @@
-//! The callers' port: one request from its head to the last byte of its answer.
+//! HTTP service for callers: handles a request from its head to the last byte of the response.
 
 use std::time::{Duration, Instant};
 
@@ -37,49 +37,49 @@
 use tokio_util::task::TaskTracker;
 
 use crate::callers::{
-    attempt::{AttemptContext, AttemptFailure, BegunAnswer, attempt, load_report},
+    attempt::{AttemptContext, AttemptFailure, StartedResponse, attempt, load_report},
     dispatcher::{AttemptEnd, AttemptGuard, ChosenTarget, DispatchHandle, DispatchMessage},
     parse::{CallerRequest, parse_request},
 };
 
-/// Chunks of an answer that may wait for the caller.
-const ANSWER_CHUNKS: usize = 16;
-/// Part of the remaining time that is kept for the agent's verdict to come back.
-const MARGIN_DIVISOR: u32 = 20;
-/// Most time that is kept for the agent's verdict to come back.
-const MAX_MARGIN: Duration = Duration::from_millis(20);
-/// Expected latencies after which an idempotent request is tried elsewhere.
-const PATIENCE_LATENCIES: u32 = 20;
-/// Least time before an idempotent request is tried elsewhere.
-const MIN_PATIENCE: Duration = Duration::from_millis(250);
-/// Expected latencies after which a hedge is sent.
-const HEDGE_LATENCIES: u32 = 3;
-/// Least time before a hedge is sent.
-const MIN_HEDGE_WAIT: Duration = Duration::from_millis(10);
+/// Maximum number of response chunks buffered for the caller.
+const RESPONSE_CHANNEL_CAPACITY: usize = 16;
+/// Divisor of the remaining time; the quotient is reserved for the agent's response to arrive.
+const RESPONSE_MARGIN_DIVISOR: u32 = 20;
+/// Maximum time that is reserved for the agent's response to arrive.
+const MAX_RESPONSE_MARGIN: Duration = Duration::from_millis(20);
+/// Timeout of one attempt of an idempotent request, in multiples of the expected latency.
+const ATTEMPT_TIMEOUT_LATENCIES: u32 = 20;
+/// Minimum timeout of one attempt of an idempotent request.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Delay before a hedge is sent, in multiples of the expected latency.
+const HEDGE_DELAY_LATENCIES: u32 = 3;
+/// Minimum delay before a hedge is sent.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(10);
 
-/// Server of the callers' port.
+/// Handler of callers' requests.
 #[derive(Clone)]
 pub struct CallerServer {
-    /// The node, which knows the services in force.
+    /// Node, which provides the active configuration.
     pub node: NodeHandle,
-    /// Owner of the hints.
+    /// Handle to the task that owns the routing state.
     pub dispatcher: DispatchHandle,
-    /// What attempts need.
+    /// Dependencies of attempts.
     pub attempts: AttemptContext,
-    /// Spans.
+    /// Source of spans.
     pub spans: Spans,
-    /// Metrics.
+    /// Metrics client.
     pub metrics: Metrics,
-    /// The planned stop.
+    /// Phases of the graceful shutdown.
     pub shutdown: Shutdown,
-    /// Answers that are being streamed.
-    pub answers: TaskTracker,
-    /// Largest body of a request, in bytes.
+    /// Responses that are being streamed.
+    pub open_responses: TaskTracker,
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
 }
 
-/// A request that is ready to be sent.
-struct ReadyRequest {
+/// Admitted request with its complete body.
+struct PreparedRequest {
     request: CallerRequest,
     body: Bytes,
     class: Class,
@@ -90,8 +90,8 @@
 }
 
 impl CallerServer {
-    /// Answers one request.
-    pub async fn answer(self, request: Request<Incoming>) -> Response<ResponseBody> {
+    /// Handles one request.
+    pub async fn handle(self, request: Request<Incoming>) -> Response<ResponseBody> {
         let (parts, body) = request.into_parts();
         let mut response = match parse_request(&parts) {
             Ok(request) => {
@@ -99,8 +99,8 @@
                 span.set("request_id", request.request_id.clone());
                 span.set("service", request.service.clone());
                 let request_id = request.request_id.clone();
-                let answer = self.run(request, body, &span).await;
-                answer.unwrap_or_else(|problem| self.refuse(problem, &request_id, &span))
+                let result = self.forward(request, body, &span).await;
+                result.unwrap_or_else(|problem| self.refuse(problem, &request_id, &span))
             }
             Err(problem) => {
                 self.metrics.count_tagged("answers", "reason", problem.reason.name());
@@ -120,7 +120,7 @@
         problem.with_request_id(request_id).into_response()
     }
 
-    async fn run(
+    async fn forward(
         &self,
         request: CallerRequest,
         body: Incoming,
@@ -141,7 +141,7 @@
             return Err(Problem::new(ErrorKind::DeadlineExceeded, "body: didn't come in time"));
         };
         let is_idempotent = is_idempotent(service, &request.method);
-        let ready = ReadyRequest {
+        let prepared = PreparedRequest {
             body: body?,
             class,
             is_idempotent,
@@ -150,15 +150,15 @@
             traceparent: span.traceparent().map(str::to_owned),
             request,
         };
-        let begun = self.send(&ready).await?;
+        let started = self.send(&prepared).await?;
         self.metrics.count_tagged("answers", "reason", "done");
-        Ok(self.stream_answer(ready, begun))
+        Ok(self.stream_response(prepared, started))
     }
 
     async fn admit(&self, request: &CallerRequest, class: Class) -> Result<(), Problem> {
         let team = request.team.clone();
         let admitted =
-            self.dispatcher.ask(|reply| DispatchMessage::Admit(team, class, reply)).await;
+            self.dispatcher.request(|reply| DispatchMessage::Admit(team, class, reply)).await;
         match admitted {
             Some(Ok(())) => Ok(()),
             Some(Err(wait)) => {
@@ -169,60 +169,61 @@
         }
     }
 
-    /// Makes attempts until one is answered, none is allowed, or the deadline passes.
-    async fn send(&self, ready: &ReadyRequest) -> Result<BegunAnswer, Problem> {
+    /// Makes attempts until a response starts, no retry is allowed, or the deadline passes.
+    async fn send(&self, prepared: &PreparedRequest) -> Result<StartedResponse, Problem> {
         let mut tried: Vec<TargetKey> = Vec::new();
         let mut is_run_possible = false;
         loop {
-            let failure = match self.attempt_or_hedge(ready, &mut tried).await {
-                Ok(begun) => return Ok(begun),
+            let failure = match self.attempt_or_hedge(prepared, &mut tried).await {
+                Ok(started) => return Ok(started),
                 Err(failure) => failure,
             };
             is_run_possible |= failure.kind.outcome() == Outcome::Unknown;
             let failed = FailedAttempt {
                 kind: failure.kind,
                 attempts: tried.len().max(1) as u32,
-                is_idempotent: ready.is_idempotent,
+                is_idempotent: prepared.is_idempotent,
                 is_response_started: false,
-                remaining: self.remaining(ready),
+                remaining: self.remaining(prepared),
             };
-            let class = ready.class;
-            let wait =
-                self.dispatcher.ask(|reply| DispatchMessage::Retry(class, failed, reply)).await;
-            let Some(Some(wait)) = wait else {
-                return Err(problem_of(failure, is_run_possible));
+            let class = prepared.class;
+            let backoff =
+                self.dispatcher.request(|reply| DispatchMessage::Retry(class, failed, reply)).await;
+            let Some(Some(backoff)) = backoff else {
+                return Err(problem_from(failure, is_run_possible));
             };
             self.metrics.count_tagged("retries", "reason", failed.kind.name());
-            sleep(wait).await;
+            sleep(backoff).await;
         }
     }
 
     async fn attempt_or_hedge(
         &self,
-        ready: &ReadyRequest,
+        prepared: &PreparedRequest,
         tried: &mut Vec<TargetKey>,
-    ) -> Result<BegunAnswer, AttemptFailure> {
-        let (chosen, guard) = self.choose(ready, tried).await?;
-        let hedge_wait =
-            chosen.expected_latency.saturating_mul(HEDGE_LATENCIES).max(MIN_HEDGE_WAIT);
-        let first = Box::pin(self.attempt_once(ready, chosen, guard, tried.len()));
-        if !ready.is_hedged {
+    ) -> Result<StartedResponse, AttemptFailure> {
+        let (chosen, guard) = self.choose(prepared, tried).await?;
+        let hedge_delay =
+            chosen.expected_latency.saturating_mul(HEDGE_DELAY_LATENCIES).max(MIN_HEDGE_DELAY);
+        let first = Box::pin(self.attempt_once(prepared, chosen, guard, tried.len()));
+        if !prepared.is_hedged {
             return first.await;
         }
-        let first = match select(first, Box::pin(sleep(hedge_wait))).await {
+        let first = match select(first, Box::pin(sleep(hedge_delay))).await {
             Either::Left((result, _)) => return result,
             Either::Right(((), first)) => first,
         };
-        let class = ready.class;
-        let is_paid = self.dispatcher.ask(|reply| DispatchMessage::Hedge(class, reply)).await;
-        if is_paid != Some(true) {
+        let class = prepared.class;
+        let is_hedge_allowed =
+            self.dispatcher.request(|reply| DispatchMessage::Hedge(class, reply)).await;
+        if is_hedge_allowed != Some(true) {
             return first.await;
         }
-        let Ok((chosen, guard)) = self.choose(ready, tried).await else { return first.await };
+        let Ok((chosen, guard)) = self.choose(prepared, tried).await else { return first.await };
         self.metrics.count("hedges");
-        let second = Box::pin(self.attempt_once(ready, chosen, guard, tried.len()));
+        let second = Box::pin(self.attempt_once(prepared, chosen, guard, tried.len()));
         match select(first, second).await {
-            Either::Left((Ok(begun), _)) | Either::Right((Ok(begun), _)) => Ok(begun),
+            Either::Left((Ok(started), _)) | Either::Right((Ok(started), _)) => Ok(started),
             Either::Left((Err(_), second)) => second.await,
             Either::Right((Err(_), first)) => first.await,
         }
@@ -230,18 +231,18 @@
 
     async fn choose(
         &self,
-        ready: &ReadyRequest,
+        prepared: &PreparedRequest,
         tried: &mut Vec<TargetKey>,
     ) -> Result<(ChosenTarget, AttemptGuard), AttemptFailure> {
-        let chosen = match self.dispatcher.choose(&ready.request.service, tried).await {
+        let chosen = match self.dispatcher.choose(&prepared.request.service, tried).await {
             Some(chosen) => Some(chosen),
-            // All known targets were tried: begin again with any of them.
-            None => self.dispatcher.choose(&ready.request.service, &[]).await,
+            // All known targets were tried: choose from all of them again.
+            None => self.dispatcher.choose(&prepared.request.service, &[]).await,
         };
         let (chosen, guard) = chosen.ok_or_else(|| AttemptFailure {
             kind: ErrorKind::NoTarget,
-            detail: format!("no target of {} is known", ready.request.service),
-            retry_after: Some(MIN_PATIENCE),
+            detail: format!("no target of {} is known", prepared.request.service),
+            retry_after: Some(MIN_ATTEMPT_TIMEOUT),
         })?;
         tried.push(chosen.key);
         Ok((chosen, guard))
@@ -249,133 +250,142 @@
 
     async fn attempt_once(
         &self,
-        ready: &ReadyRequest,
+        prepared: &PreparedRequest,
         chosen: ChosenTarget,
         guard: AttemptGuard,
         attempts: usize,
-    ) -> Result<BegunAnswer, AttemptFailure> {
-        let span = self.spans.start("entry.attempt", ready.traceparent.as_deref());
-        let remaining = self.remaining(ready);
-        let margin = (remaining / MARGIN_DIVISOR).min(MAX_MARGIN);
-        let head = request_head(&ready.request, ready.class, remaining - margin, &span);
-        let patience_end = self.patience_end(ready, &chosen, attempts);
-        let body = ready.body.clone();
-        attempt(&self.attempts, chosen, guard, head, body, patience_end).await
+    ) -> Result<StartedResponse, AttemptFailure> {
+        let span = self.spans.start("entry.attempt", prepared.traceparent.as_deref());
+        let remaining = self.remaining(prepared);
+        let margin = (remaining / RESPONSE_MARGIN_DIVISOR).min(MAX_RESPONSE_MARGIN);
+        let head = request_head(&prepared.request, prepared.class, remaining - margin, &span);
+        let attempt_deadline = self.attempt_deadline(prepared, &chosen, attempts);
+        let body = prepared.body.clone();
+        attempt(&self.attempts, chosen, guard, head, body, attempt_deadline).await
     }
 
-    /// An idempotent request with attempts left doesn't wait for one target until the deadline.
-    fn patience_end(
+    /// Deadline of one attempt: an idempotent request with attempts left doesn't wait for a single
+    /// target until the caller's deadline.
+    fn attempt_deadline(
         &self,
-        ready: &ReadyRequest,
+        prepared: &PreparedRequest,
         chosen: &ChosenTarget,
         attempts: usize,
     ) -> Instant {
-        if !ready.is_idempotent || attempts >= MAX_ATTEMPTS as usize {
-            return ready.deadline;
+        if !prepared.is_idempotent || attempts >= MAX_ATTEMPTS as usize {
+            return prepared.deadline;
         }
-        let patience = chosen.expected_latency.saturating_mul(PATIENCE_LATENCIES).max(MIN_PATIENCE);
-        (self.attempts.clock.now() + patience).min(ready.deadline)
+        let attempt_timeout = chosen
+            .expected_latency
+            .saturating_mul(ATTEMPT_TIMEOUT_LATENCIES)
+            .max(MIN_ATTEMPT_TIMEOUT);
+        (self.attempts.clock.now() + attempt_timeout).min(prepared.deadline)
     }
 
-    fn remaining(&self, ready: &ReadyRequest) -> Duration {
-        ready.deadline.saturating_duration_since(self.attempts.clock.now())
+    fn remaining(&self, prepared: &PreparedRequest) -> Duration {
+        prepared.deadline.saturating_duration_since(self.attempts.clock.now())
     }
 
-    /// Streams an answer to the caller; one that stops short ends in a reset, never as if whole.
-    fn stream_answer(&self, ready: ReadyRequest, begun: BegunAnswer) -> Response<ResponseBody> {
-        let (sender, receiver) = mpsc::channel(ANSWER_CHUNKS);
-        let mut response = response_head(&begun.head);
-        if let Ok(request_id) = HeaderValue::from_str(&ready.request.request_id) {
+    /// Streams a response to the caller; a truncated response ends in a reset, so that it can't be
+    /// mistaken for a complete one.
+    fn stream_response(
+        &self,
+        prepared: PreparedRequest,
+        started: StartedResponse,
+    ) -> Response<ResponseBody> {
+        let (sender, receiver) = mpsc::channel(RESPONSE_CHANNEL_CAPACITY);
+        let mut response = response_head(&started.head);
+        if let Ok(request_id) = HeaderValue::from_str(&prepared.request.request_id) {
             response.headers_mut().insert(headers::REQUEST_ID, request_id);
         }
         let clock = self.attempts.clock.clone();
         let metrics = self.metrics.clone();
-        self.answers.spawn(async move {
-            let BegunAnswer { frames, guard, started_at, .. } = begun;
-            let end = pump(frames, &ready, &sender).await;
+        self.open_responses.spawn(async move {
+            let StartedResponse { frames, guard, started_at, .. } = started;
+            let end = relay(frames, &prepared, &sender).await;
             let elapsed = clock.now().duration_since(started_at);
             metrics.time("answer_time", elapsed);
             match end {
-                PumpEnd::Whole(load) => {
-                    guard.end(AttemptEnd::Answered(elapsed, load));
-                    sender.send(AnswerPart::End).await.ok();
+                RelayEnd::Complete(load) => {
+                    guard.end(AttemptEnd::Completed(elapsed, load));
+                    sender.send(ResponsePart::End).await.ok();
                 }
-                PumpEnd::Truncated(reason) => {
+                RelayEnd::Truncated(reason) => {
                     metrics.count_tagged("answers_truncated", "reason", reason);
                     guard.end(AttemptEnd::Failed(elapsed));
                 }
-                PumpEnd::CallerGone => guard.end(AttemptEnd::Abandoned),
+                RelayEnd::CallerDisconnected => guard.end(AttemptEnd::Abandoned),
             }
         });
-        response.map(|()| StreamBody::new(answer_parts(receiver)).boxed_unsync())
+        response.map(|()| StreamBody::new(response_frames(receiver)).boxed_unsync())
     }
 }
 
-/// Part of an answer on its way to the caller.
-enum AnswerPart {
+/// Part of a response that is streamed to the caller.
+enum ResponsePart {
     Chunk(Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     End,
 }
 
-/// The body of an answer: it ends well only after [`AnswerPart::End`].
-fn answer_parts(
-    receiver: mpsc::Receiver<AnswerPart>,
+/// Body frames of a response; the stream ends without an error only after [`ResponsePart::End`].
+fn response_frames(
+    receiver: mpsc::Receiver<ResponsePart>,
 ) -> impl Stream<Item = Result<Frame<Bytes>, BodyError>> {
     stream::unfold(Some(receiver), |receiver| async move {
         let mut receiver = receiver?;
         match receiver.recv().await {
-            Some(AnswerPart::Chunk(chunk)) => Some((Ok(Frame::data(chunk)), Some(receiver))),
-            Some(AnswerPart::End) => None,
-            None => Some((Err("the answer stopped short".into()), None)),
+            Some(ResponsePart::Chunk(chunk)) => Some((Ok(Frame::data(chunk)), Some(receiver))),
+            Some(ResponsePart::End) => None,
+            None => Some((Err("response truncated".into()), None)),
         }
     })
 }
 
-enum PumpEnd {
-    Whole(Option<teaseltrack::routing::LoadReport>),
+enum RelayEnd {
+    Complete(Option<teaseltrack::routing::LoadReport>),
     Truncated(&'static str),
-    CallerGone,
+    CallerDisconnected,
 }
 
-/// Hands an answer's chunks on, and says whether they were all of it.
-async fn pump(
+/// Relays the chunks of a response, and returns whether it was complete.
+async fn relay(
     mut frames: tonic::Streaming<teaseltrack_wire::request_path::AnswerFrame>,
-    ready: &ReadyRequest,
-    sender: &mpsc::Sender<AnswerPart>,
-) -> PumpEnd {
+    prepared: &PreparedRequest,
+    sender: &mpsc::Sender<ResponsePart>,
+) -> RelayEnd {
     let mut body_bytes = 0;
     loop {
-        let next = match timeout_at(ready.deadline.into(), frames.message()).await {
+        let next = match timeout_at(prepared.deadline.into(), frames.message()).await {
             Ok(Ok(Some(frame))) => frame.frame,
-            Ok(Ok(None)) => return PumpEnd::Truncated("the answer has no end"),
-            Ok(Err(_)) => return PumpEnd::Truncated("the answer stopped short"),
-            Err(_) => return PumpEnd::Truncated("no whole answer by the deadline"),
+            Ok(Ok(None)) => return RelayEnd::Truncated("the answer has no end"),
+            Ok(Err(_)) => return RelayEnd::Truncated("the answer stopped short"),
+            Err(_) => return RelayEnd::Truncated("no whole answer by the deadline"),
         };
         match next {
             Some(answer_frame::Frame::Chunk(chunk)) => {
                 body_bytes += chunk.len() as u64;
-                let sending = sender.send(AnswerPart::Chunk(chunk));
-                match timeout_at(ready.deadline.into(), sending).await {
+                let sending = sender.send(ResponsePart::Chunk(chunk));
+                match timeout_at(prepared.deadline.into(), sending).await {
                     Ok(Ok(())) => {}
-                    Ok(Err(_)) => return PumpEnd::CallerGone,
-                    Err(_) => return PumpEnd::Truncated("not read by the deadline"),
+                    Ok(Err(_)) => return RelayEnd::CallerDisconnected,
+                    Err(_) => return RelayEnd::Truncated("not read by the deadline"),
                 }
             }
             Some(answer_frame::Frame::End(end)) => {
-                let is_whole =
-                    end.body_bytes == body_bytes && end.request_id == ready.request.request_id;
-                if !is_whole {
-                    return PumpEnd::Truncated("the answer's end doesn't match it");
+                let is_complete =
+                    end.body_bytes == body_bytes && end.request_id == prepared.request.request_id;
+                if !is_complete {
+                    return RelayEnd::Truncated("the answer's end doesn't match it");
                 }
-                return PumpEnd::Whole(end.load.map(load_report));
+                return RelayEnd::Complete(end.load.map(load_report));
             }
-            _ => return PumpEnd::Truncated("unexpected frame"),
+            _ => return RelayEnd::Truncated("unexpected frame"),
         }
     }
 }
 
-/// Idempotency by method (RFC 9110), unless the service's record says otherwise.
+/// Whether a request is idempotent, by method (RFC 9110) unless the service's record overrides it.
 fn is_idempotent(service: &ServiceSpec, method: &Method) -> bool {
     service.is_idempotent.unwrap_or_else(|| method.is_idempotent())
 }
@@ -412,8 +422,8 @@
     response
 }
 
-/// What the caller is told; an earlier attempt that may have run leaves the outcome unknown.
-fn problem_of(failure: AttemptFailure, is_run_possible: bool) -> Problem {
+/// Refusal sent to the caller; its outcome is unknown if any attempt may have run.
+fn problem_from(failure: AttemptFailure, is_run_possible: bool) -> Problem {
     let mut problem = Problem::new(failure.kind, failure.detail);
     if is_run_possible {
         problem.outcome = Outcome::Unknown;
--- a/crates/teaseltrack-entry/src/entry.rs
+++ b/crates/teaseltrack-entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! Starts an entry's tasks and stops them in order.
+//! Startup and graceful shutdown of an entry.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -36,18 +36,18 @@
         agent_connection::AgentConnections, attempt::AttemptContext, dispatcher::spawn_dispatcher,
         server::CallerServer,
     },
-    operators::{archivist::keep_archiving, commands::CommandContext, server::answer},
+    operators::{archiver::run_archiver, commands::CommandContext, server::handle},
     options::config::EntrySettings,
 };
 
-/// Connections of operators at once.
+/// Maximum number of concurrent connections from operators.
 const MAX_OPERATOR_CONNECTIONS: usize = 64;
-/// Time for open answers to end in a planned stop.
+/// Timeout for open responses to complete during a graceful shutdown.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for the seed row to be deleted in a planned stop.
+/// Timeout for deleting the seed row during a graceful shutdown.
 const SEED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Addresses that an entry serves.
+/// Listen addresses of an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryAddresses {
     /// Requests from callers.
@@ -56,16 +56,16 @@
     pub operators: SocketAddr,
     /// Control calls.
     pub control: SocketAddr,
-    /// Liveness, readiness and status.
+    /// Liveness, readiness and status checks.
     pub health: SocketAddr,
 }
 
-/// A running entry.
+/// Running entry.
 pub struct Entry {
     common: Common,
     addresses: EntryAddresses,
     drain_grace: Duration,
-    answers: TaskTracker,
+    open_responses: TaskTracker,
     servers: Vec<JoinHandle<()>>,
     seed_row: JoinHandle<()>,
     spans: Spans,
@@ -79,11 +79,11 @@
 }
 
 impl Entry {
-    /// Binds the addresses and starts all tasks.
+    /// Binds the listen addresses and starts all tasks.
     ///
     /// # Errors
     ///
-    /// An address can't be bound.
+    /// An address can't be bound, or the socket for sending metrics can't be opened.
     pub async fn start(settings: EntrySettings, shutdown: Shutdown) -> Result<Self, StartError> {
         let logger =
             logs::logger(settings.observation.logs, "teaseltrack-entry", &settings.instance.name);
@@ -115,36 +115,36 @@
         };
         let draining = common.shutdown.draining.clone();
         let seed_row = tokio::spawn(keep_seed_row(common.store.clone(), seed, draining));
-        tokio::spawn(keep_archiving(
+        tokio::spawn(run_archiver(
             common.store.clone(),
             settings.instance.name.clone(),
             logger.clone(),
             common.shutdown.closing.clone(),
         ));
-        let answers = TaskTracker::new();
-        let callers = caller_server(&settings, &common, &spans, &metrics, &answers);
+        let open_responses = TaskTracker::new();
+        let callers = caller_server(&settings, &common, &spans, &metrics, &open_responses);
         let servers = vec![
             serve_callers(&settings, &common, callers, listeners.callers),
             serve_operators(&common, listeners.operators),
         ];
-        let status = status_report(&common, &answers);
+        let status = status_report(&common, &open_responses);
         tokio::spawn(serve_health(listeners.health, common.shutdown.clone(), status));
-        info!(logger, "entry serves"; "callers" => %addresses.callers,
+        info!(logger, "entry started"; "callers" => %addresses.callers,
             "operators" => %addresses.operators, "control" => %addresses.control);
         let drain_grace = Duration::from_millis(settings.callers.drain_grace_ms);
-        Ok(Self { common, addresses, drain_grace, answers, servers, seed_row, spans })
+        Ok(Self { common, addresses, drain_grace, open_responses, servers, seed_row, spans })
     }
 
-    /// Addresses that the entry serves.
+    /// Listen addresses of the entry.
     pub fn addresses(&self) -> EntryAddresses {
         self.addresses
     }
 
-    /// Waits for the planned stop and carries it out.
+    /// Waits for the start of the graceful shutdown, and completes it.
     pub async fn wait(self) {
         self.common.shutdown.draining.cancelled().await;
         let logger = self.common.logger.clone();
-        info!(logger, "planned stop begins");
+        info!(logger, "graceful shutdown started");
         sleep(self.drain_grace).await;
         self.common.node.ask(NodeMessage::Leave).await;
         push_news(&self.common.node, &self.common.clients).await;
@@ -152,11 +152,11 @@
         for server in self.servers {
             drop(timeout(DRAIN_TIMEOUT, server).await);
         }
-        self.answers.close();
-        drop(timeout(DRAIN_TIMEOUT, self.answers.wait()).await);
+        self.open_responses.close();
+        drop(timeout(DRAIN_TIMEOUT, self.open_responses.wait()).await);
         drop(timeout(SEED_TIMEOUT, self.seed_row).await);
         self.spans.flush();
-        info!(logger, "stopped");
+        info!(logger, "graceful shutdown completed");
     }
 }
 
@@ -181,11 +181,11 @@
     common: &Common,
     spans: &Spans,
     metrics: &Metrics,
-    answers: &TaskTracker,
+    open_responses: &TaskTracker,
 ) -> CallerServer {
     let zone = settings.instance.zone.clone();
     let connections = AgentConnections::default();
-    tokio::spawn(drop_old_connections(common.clone(), connections.clone()));
+    tokio::spawn(close_stale_connections(common.clone(), connections.clone()));
     CallerServer {
         node: common.node.clone(),
         dispatcher: spawn_dispatcher(common.node.clone(), zone, common.clock.clone()),
@@ -193,19 +193,19 @@
         spans: spans.clone(),
         metrics: metrics.clone(),
         shutdown: common.shutdown.clone(),
-        answers: answers.clone(),
+        open_responses: open_responses.clone(),
         max_body_bytes: settings.callers.max_body_bytes,
     }
 }
 
-/// Drops connections to agents that have gone.
-async fn drop_old_connections(common: Common, connections: AgentConnections) {
+/// Closes connections to agents that have left the fleet.
+async fn close_stale_connections(common: Common, connections: AgentConnections) {
     let mut members = common.node.watch_members();
     while members.changed().await.is_ok() {
-        let present = members.borrow_and_update().clone();
+        let current = members.borrow_and_update().clone();
         connections.retain(|agent| {
             let agent = agent.to_string();
-            present.iter().any(|member| member.request_address == agent)
+            current.iter().any(|member| member.request_address == agent)
         });
     }
 }
@@ -219,7 +219,7 @@
     let max_connections = settings.callers.max_connections;
     let closing = common.shutdown.closing.clone();
     tokio::spawn(serve(listener, max_connections, closing, move |request| {
-        callers.clone().answer(request)
+        callers.clone().handle(request)
     }))
 }
 
@@ -232,12 +232,12 @@
     };
     let closing = common.shutdown.closing.clone();
     tokio::spawn(serve(listener, MAX_OPERATOR_CONNECTIONS, closing, move |request| {
-        answer(context.clone(), request)
+        handle(context.clone(), request)
     }))
 }
 
-fn status_report(common: &Common, answers: &TaskTracker) -> StatusReport {
-    let (common, answers) = (common.clone(), answers.clone());
+fn status_report(common: &Common, open_responses: &TaskTracker) -> StatusReport {
+    let (common, open_responses) = (common.clone(), open_responses.clone());
     Arc::new(move || {
         let members = common.node.members();
         let targets = members.iter().filter(|member| member.target.is_some()).count();
@@ -246,7 +246,7 @@
             "records": common.node.configuration().record_count(),
             "members": members.len(),
             "targets": targets,
-            "answers_in_flight": answers.len(),
+            "answers_in_flight": open_responses.len(),
             "control_sent_bytes": common.control_bytes.sent(),
             "control_received_bytes": common.control_bytes.received(),
             "store_reads": common.store.usage().reads(),
--- a/crates/teaseltrack-entry/src/lib.rs
+++ b/crates/teaseltrack-entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The process between callers and agents.
+//! Entry daemon, the process that callers and operators connect to.
 //!
-//! An entry takes callers' requests ([`callers`]) and operators' commands and queries
-//! ([`operators`]). It owns nothing durable: what it knows of targets are hints, which agents correct,
-//! and records live in the platform's store.
+//! An entry routes callers' requests to agents ([`callers`]) and serves operators' commands and
+//! queries ([`operators`]). It has no durable state: its data about targets may be stale and is
+//! corrected by agents' responses, and records are stored in the platform's store.
 
 pub mod callers;
 pub mod entry;
@@ -15,12 +15,12 @@
 
 use crate::{entry::Entry, options::config::EntrySettings};
 
-/// Threads of the process; waking up more of them costs more than they gain.
+/// Worker threads of the runtime; more threads cost more in wake-ups than they gain.
 const WORKER_THREADS: usize = 2;
 
-/// Runs the entry as the command line says.
+/// Runs the entry with the arguments of the command line.
 pub fn run_from_command_line() -> ExitCode {
-    let about = "Takes callers' requests and operators' commands";
+    let about = "Routes callers' requests to agents and serves operators' commands";
     let matches = args::command("teaseltrack-entry", about).get_matches();
     let args = DaemonArgs::from_matches(&matches);
     let settings = read_settings::<EntrySettings>(&args.settings)
--- a/crates/teaseltrack-entry/src/main.rs
+++ b/crates/teaseltrack-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The process between callers and agents.
+//! Entry daemon.
 
 use std::process::ExitCode;
 
--- a/crates/teaseltrack-entry/src/operators.rs
+++ b/crates/teaseltrack-entry/src/operators.rs
@@ -1,6 +1,6 @@
-//! The operators' port: commands change records, queries read them.
+//! HTTP service for operators: commands change records, queries read them.
 
-pub mod archivist;
+pub mod archiver;
 pub mod commands;
 pub mod queries;
 pub mod server;
--- a/crates/teaseltrack-entry/src/operators/archivist.rs
+++ b/crates/teaseltrack-entry/src/operators/archiver.rs
@@ -1,6 +1,7 @@
-//! Moves the configuration's history to the object store.
+//! Archives the configuration journal in the object store.
 //!
-//! All entries do so; the condition on the mark lets one of them win.
+//! Every entry runs the archiver; the condition on the archive mark lets only one of several
+//! concurrent attempts commit.
 
 use std::time::Duration;
 
@@ -15,40 +16,40 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks at the length of the journal.
-const PERIOD: Duration = Duration::from_secs(60);
-/// Entries that stay in the table, so that most readers find what they lack there.
-const KEPT_ENTRIES: u64 = SEGMENT_ENTRIES;
+/// Mean interval between checks of the journal's length.
+const ARCHIVE_PERIOD: Duration = Duration::from_secs(60);
+/// Newest entries that are retained in the table, so that most readers don't need the archive.
+const RETAINED_ENTRIES: u64 = SEGMENT_ENTRIES;
 
-/// Moves whole segments now and then until `closing` is cancelled.
-pub async fn keep_archiving(
+/// Archives full segments periodically until `closing` is cancelled.
+pub async fn run_archiver(
     store: Store,
     author: String,
     logger: Logger,
     closing: CancellationToken,
 ) {
     loop {
-        let wait = PERIOD.mul_f64(rand::rng().random_range(0.5..1.5));
+        let delay = ARCHIVE_PERIOD.mul_f64(rand::rng().random_range(0.5..1.5));
         tokio::select! {
-            () = sleep(wait) => {}
+            () = sleep(delay) => {}
             () = closing.cancelled() => return,
         }
         match archive_configuration(&store, &author).await {
             Ok(0) => {}
-            Ok(segments) => info!(logger, "history archived"; "segments" => segments),
-            Err(error) => warn!(logger, "history not archived"; "error" => %error),
+            Ok(segments) => info!(logger, "journal archived"; "segments" => segments),
+            Err(error) => warn!(logger, "archiving failed"; "error" => %error),
         }
     }
 }
 
-/// Moves all whole segments but the newest entries; the number of segments moved.
+/// Archives all full segments except for the newest entries; returns the number of segments.
 ///
 /// # Errors
 ///
-/// The store doesn't answer; what was moved before stays moved.
+/// The store is unavailable; segments that were already archived stay archived.
 pub async fn archive_configuration(store: &Store, author: &str) -> Result<u64, StoreError> {
     let sequence = Stream::open(store, CONFIGURATION_STREAM).await?.head().sequence;
-    let through = sequence.saturating_sub(KEPT_ENTRIES);
+    let through = sequence.saturating_sub(RETAINED_ENTRIES);
     let mut archive = Archive::read(store, CONFIGURATION_STREAM).await?;
     let mut segments = 0;
     while archive.move_segment(store, CONFIGURATION_STREAM, author, through, 0).await? {
--- a/crates/teaseltrack-entry/src/operators/commands.rs
+++ b/crates/teaseltrack-entry/src/operators/commands.rs
@@ -1,8 +1,8 @@
-//! Commands: submit, amend and withdraw records, and fire watches.
+//! Commands: submit, amend and withdraw records, and notify watches.
 //!
-//! A command is one conditional transaction that writes the record, its entry in the configuration's
-//! journal and, for a job, the command that waits for the shard's owner. Of two operators who change
-//! the same record one is refused and told the current revision and its author.
+//! A command is one conditional transaction that writes the record, its entry in the configuration
+//! journal and, for a job, the command queued for the shard's owner. If two operators change the
+//! same record concurrently, one is refused with the current revision and its author.
 
 use std::time::Duration;
 
@@ -32,49 +32,49 @@
 use teaseltrack_wire::operators::SubmittedRecord;
 use tokio::time::sleep;
 
-/// Time after which a command without an answer from the store is told to be unknown.
-const GIVE_UP: Duration = Duration::from_secs(5);
-/// Tries of a command whose stream others append to.
+/// Time after which a command without a response from the store is reported as unknown.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum tries of a command that conflicts with other appends to the stream.
 const MAX_TRIES: u32 = 20;
-/// Most wait between such tries.
-const MAX_RACE_WAIT: Duration = Duration::from_millis(40);
-/// Time for a shard's owner to be woken.
+/// Maximum backoff after a conflict.
+const MAX_CONFLICT_BACKOFF: Duration = Duration::from_millis(40);
+/// Timeout for notifying a shard's owner of a queued command.
 const WAKE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What commands need.
+/// Dependencies of commands.
 #[derive(Clone)]
 pub struct CommandContext {
-    /// The store.
+    /// Client of the platform's store.
     pub store: Store,
-    /// Clock.
+    /// Time source.
     pub clock: SharedClock,
-    /// The node.
+    /// Node, which provides the active configuration.
     pub node: NodeHandle,
     /// Clients of control calls.
     pub clients: ControlClients,
 }
 
-/// A change that an operator asks for.
+/// Change requested by an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangeRequest {
-    /// Submit, amend or withdraw.
+    /// Kind of the change.
     pub action: ChangeAction,
     /// Kind of the record.
     pub kind: RecordKind,
-    /// Its name.
+    /// Name of the record.
     pub name: String,
-    /// The operator.
+    /// Operator who requested the change.
     pub author: String,
-    /// The revision that the operator saw; absent for a submission.
-    pub seen_revision: Option<Revision>,
-    /// The new body; absent for a withdrawal.
+    /// Revision that the change is based on; absent for a submission.
+    pub expected_revision: Option<Revision>,
+    /// New body of the record; absent for a withdrawal.
     pub submitted: Option<SubmittedRecord>,
 }
 
-/// Why a try of a change didn't take effect.
+/// Failure of one try of a change.
 enum ChangeFailure {
     Refused(Problem),
-    Raced,
+    Conflicted,
 }
 
 impl From<Problem> for ChangeFailure {
@@ -90,28 +90,28 @@
 }
 
 impl CommandContext {
-    /// Carries out a change.
+    /// Executes a change.
     ///
     /// # Errors
     ///
-    /// Bad input, a record that exists already or doesn't, a revision that others changed, or a store
-    /// that doesn't answer, which leaves the outcome unknown.
+    /// Invalid input, a record that already exists or doesn't exist, a revision conflict, or an
+    /// unavailable store, in which case the outcome is unknown.
     pub async fn change(&self, request: ChangeRequest) -> Result<Record, Problem> {
         check(&request)?;
         self.change_with(&request, Vec::new(), Vec::new()).await
     }
 
-    /// Starts a watch's job for a notice, once for each notice.
+    /// Starts the job of a watch exactly once for each notice.
     ///
     /// # Errors
     ///
-    /// As [`Self::change`]; a notice that was acted on already is [`ErrorKind::AlreadyExists`].
+    /// As [`Self::change`]; [`ErrorKind::AlreadyExists`] if the notice was already processed.
     pub async fn notify(&self, watch: &str, notice: &str, author: &str) -> Result<Record, Problem> {
         check_name(notice).map_err(|error| invalid(format!("notice: {error}")))?;
-        let held = self.read(RecordKind::Watch, watch).await.map_err(unavailable)?;
-        let held = held.map(|(record, _)| record).filter(|record| !record.is_withdrawn);
-        let Some(held) = held else { return Err(missing(RecordKind::Watch, watch)) };
-        let spec = parse_spec(held.kind, held.schema_version, &held.body);
+        let current = self.read(RecordKind::Watch, watch).await.map_err(unavailable)?;
+        let current = current.map(|(record, _)| record).filter(|record| !record.is_withdrawn);
+        let Some(current) = current else { return Err(not_found(RecordKind::Watch, watch)) };
+        let spec = parse_spec(current.kind, current.schema_version, &current.body);
         let Ok(Spec::Watch(spec)) = spec else {
             return Err(Problem::new(ErrorKind::Internal, format!("watch {watch} can't be read")));
         };
@@ -122,7 +122,7 @@
             kind: RecordKind::Job,
             name: format!("{}{notice}", spec.job_prefix),
             author: author.to_owned(),
-            seen_revision: None,
+            expected_revision: None,
             submitted: Some(SubmittedRecord { schema_version: 2, body }),
         };
         check(&request)?;
@@ -141,13 +141,13 @@
         for _ in 0..MAX_TRIES {
             match self.try_change(request, conditions.clone(), writes.clone()).await {
                 Ok(record) => {
-                    self.put_in_force(&record).await;
+                    self.propagate(&record).await;
                     return Ok(record);
                 }
                 Err(ChangeFailure::Refused(problem)) => return Err(problem),
-                Err(ChangeFailure::Raced) => {
-                    let wait = MAX_RACE_WAIT.mul_f64(rand::rng().random::<f64>());
-                    sleep(wait).await;
+                Err(ChangeFailure::Conflicted) => {
+                    let backoff = MAX_CONFLICT_BACKOFF.mul_f64(rand::rng().random::<f64>());
+                    sleep(backoff).await;
                 }
             }
         }
@@ -164,11 +164,11 @@
         writes: Vec<Write>,
     ) -> Result<Record, ChangeFailure> {
         let mut stream = Stream::open(&self.store, CONFIGURATION_STREAM).await?;
-        let held = self.read(request.kind, &request.name).await?;
-        let version = held.as_ref().map_or(0, |(_, version)| *version);
-        let held = held.map(|(record, _)| record);
-        check_held(request, held.as_ref())?;
-        let record = self.record_after(request, held, stream.head().sequence + 1);
+        let current = self.read(request.kind, &request.name).await?;
+        let version = current.as_ref().map_or(0, |(_, version)| *version);
+        let current = current.map(|(record, _)| record);
+        check_current(request, current.as_ref())?;
+        let record = self.record_after(request, current, stream.head().sequence + 1);
         let key = keys::record(record.kind, &record.name);
         let mut append = Append {
             author: request.author.clone(),
@@ -177,7 +177,7 @@
             owner: None,
             conditions,
             writes,
-            retry_deadline: Some(self.clock.now() + GIVE_UP),
+            retry_deadline: Some(self.clock.now() + COMMIT_TIMEOUT),
         };
         append.conditions.push(Condition { key: key.clone(), version });
         append.writes.push(Write::put(key.clone(), &record));
@@ -188,11 +188,15 @@
         }
         match stream.append(&self.store, &self.clock, append).await? {
             AppendOutcome::Committed(_) => Ok(record),
-            AppendOutcome::Conflict { key: lost } if lost.starts_with("notice/") => {
-                let detail = format!("{lost}: acted on already");
+            AppendOutcome::Conflict { key: conflicting_key }
+                if conflicting_key.starts_with("notice/") =>
+            {
+                let detail = format!("{conflicting_key}: acted on already");
                 Err(Problem::new(ErrorKind::AlreadyExists, detail).into())
             }
-            AppendOutcome::HeadMoved | AppendOutcome::Conflict { .. } => Err(ChangeFailure::Raced),
+            AppendOutcome::HeadMoved | AppendOutcome::Conflict { .. } => {
+                Err(ChangeFailure::Conflicted)
+            }
         }
     }
 
@@ -208,12 +212,12 @@
     fn record_after(
         &self,
         request: &ChangeRequest,
-        held: Option<Record>,
+        current: Option<Record>,
         revision: Revision,
     ) -> Record {
-        let (schema_version, body) = match (&request.submitted, held) {
+        let (schema_version, body) = match (&request.submitted, current) {
             (Some(submitted), _) => (submitted.schema_version, submitted.body.clone()),
-            (None, Some(held)) => (held.schema_version, held.body),
+            (None, Some(current)) => (current.schema_version, current.body),
             (None, None) => (0, Value::Null),
         };
         Record {
@@ -228,8 +232,9 @@
         }
     }
 
-    /// Makes a committed change known at once; whoever misses it learns of it by digest.
-    async fn put_in_force(&self, record: &Record) {
+    /// Notifies the shard's owner of a queued command and pushes a committed change to peers;
+    /// processes that miss the push detect the change by comparing digests.
+    async fn propagate(&self, record: &Record) {
         if record.kind == RecordKind::Job {
             let context = self.clone();
             let shard = shard_of(&record.name);
@@ -262,7 +267,7 @@
     Problem::new(ErrorKind::StoreUnavailable, error.to_string())
 }
 
-fn missing(kind: RecordKind, name: &str) -> Problem {
+fn not_found(kind: RecordKind, name: &str) -> Problem {
     Problem::new(ErrorKind::NotFound, format!("{} {name} doesn't exist", kind.as_str()))
 }
 
@@ -278,25 +283,25 @@
     Ok(())
 }
 
-/// Checks the request against the record that is held.
-fn check_held(request: &ChangeRequest, held: Option<&Record>) -> Result<(), Problem> {
+/// Checks the request against the current record.
+fn check_current(request: &ChangeRequest, current: Option<&Record>) -> Result<(), Problem> {
     let (kind, name) = (request.kind, &request.name);
     if request.action == ChangeAction::Submit {
-        // A job's name stands for its tasks and is never given twice.
-        let is_free = held.is_none_or(|held| held.is_withdrawn && kind != RecordKind::Job);
-        let Some(held) = held.filter(|_| !is_free) else { return Ok(()) };
-        return Err(Problem::new(ErrorKind::AlreadyExists, describe(held)));
+        // A job's name identifies its tasks and is never reused, even after a withdrawal.
+        let is_free = current.is_none_or(|current| current.is_withdrawn && kind != RecordKind::Job);
+        let Some(current) = current.filter(|_| !is_free) else { return Ok(()) };
+        return Err(Problem::new(ErrorKind::AlreadyExists, describe(current)));
     }
-    let Some(held) = held.filter(|held| !held.is_withdrawn) else {
-        return Err(missing(kind, name));
+    let Some(current) = current.filter(|current| !current.is_withdrawn) else {
+        return Err(not_found(kind, name));
     };
-    if request.seen_revision == Some(held.revision) {
+    if request.expected_revision == Some(current.revision) {
         return Ok(());
     }
-    Err(Problem::new(ErrorKind::RevisionConflict, describe(held)))
+    Err(Problem::new(ErrorKind::RevisionConflict, describe(current)))
 }
 
-fn describe(held: &Record) -> String {
-    let Record { kind, name, revision, author, .. } = held;
+fn describe(current: &Record) -> String {
+    let Record { kind, name, revision, author, .. } = current;
     format!("{} {name} is at revision {revision} by {author}", kind.as_str())
 }
--- a/crates/teaseltrack-entry/src/operators/queries.rs
+++ b/crates/teaseltrack-entry/src/operators/queries.rs
@@ -1,4 +1,4 @@
-//! Queries: records, jobs and the history of decisions.
+//! Queries: records, jobs, fleet status and decision history.
 
 use teaseltrack::{
     journal::{CONFIGURATION_STREAM, EntryBody, JournalEntry, SealedEntry},
@@ -24,7 +24,7 @@
     Problem::new(ErrorKind::NotFound, detail)
 }
 
-/// The fleet as this entry knows it.
+/// Fleet membership as seen by this entry.
 pub fn fleet_status(node: &NodeHandle) -> FleetStatus {
     FleetStatus {
         revision: node.configuration().revision(),
@@ -32,11 +32,11 @@
     }
 }
 
-/// All records of a kind, or of all kinds.
+/// Lists the records of a kind, or of all kinds.
 ///
 /// # Errors
 ///
-/// The store doesn't answer.
+/// The store is unavailable.
 pub async fn list_records(store: &Store, kind: Option<RecordKind>) -> Result<Vec<Record>, Problem> {
     let prefix = kind.map_or("record/".to_owned(), keys::records);
     let rows = store.list_all(&prefix).await.map_err(|error| unavailable(&error))?;
@@ -44,22 +44,22 @@
     records.map_err(|error| unavailable(&error))
 }
 
-/// One record.
+/// Reads a record.
 ///
 /// # Errors
 ///
-/// There is none, or the store doesn't answer.
+/// The record doesn't exist, or the store is unavailable.
 pub async fn show_record(store: &Store, kind: RecordKind, name: &str) -> Result<Record, Problem> {
     let row = store.read(&keys::record(kind, name)).await.map_err(|error| unavailable(&error))?;
     let row = row.ok_or_else(|| not_found(format!("{} {name} doesn't exist", kind.as_str())))?;
     row.parse().map_err(|error| unavailable(&error))
 }
 
-/// A job with its tasks, from its shard's journal.
+/// Reads a job and its tasks, as of its shard's journal.
 ///
 /// # Errors
 ///
-/// There is none, or the store doesn't answer.
+/// The job has no tasks, or the store is unavailable.
 pub async fn show_job(store: &Store, name: &str) -> Result<JobView, Problem> {
     let shard = shard_of(name);
     let loaded = load_shard(store, shard).await.map_err(|error| unavailable(&error))?;
@@ -75,31 +75,31 @@
     })
 }
 
-/// Names of all streams.
+/// Lists the names of all streams.
 pub fn list_streams() -> Vec<String> {
     std::iter::once(CONFIGURATION_STREAM.to_owned())
         .chain((0..SHARD_COUNT).map(stream_of))
         .collect()
 }
 
-/// Entries of a stream after a sequence number.
+/// Reads a page of a stream's entries after a sequence number.
 ///
 /// # Errors
 ///
-/// There is no such stream, or the store doesn't answer.
+/// The stream doesn't exist, or the store is unavailable.
 pub async fn history(store: &Store, stream: &str, after: u64) -> Result<HistoryPage, Problem> {
-    if !list_streams().iter().any(|known| known == stream) {
+    if !list_streams().iter().any(|existing| existing == stream) {
         return Err(not_found(format!("stream: {stream} doesn't exist")));
     }
     let entries = read_entries(store, stream, after).await.map_err(|error| unavailable(&error))?;
     Ok(HistoryPage { stream: stream.to_owned(), entries })
 }
 
-/// All decisions about a job, oldest first.
+/// Reads all decisions on a job, oldest first.
 ///
 /// # Errors
 ///
-/// The store doesn't answer, or an entry can't be read.
+/// The store is unavailable, or an entry can't be parsed.
 pub async fn explain_job(store: &Store, job: &str) -> Result<Vec<ExplainedDecision>, Problem> {
     let stream = stream_of(shard_of(job));
     let mut explained = Vec::new();
@@ -107,14 +107,14 @@
     loop {
         let page = history(store, &stream, after).await?;
         let Some(last) = page.entries.last() else { return Ok(explained) };
-        after = open(last)?.sequence;
+        after = parse_entry(last)?.sequence;
         for sealed in &page.entries {
-            explained.extend(decisions_about(job, open(sealed)?));
+            explained.extend(decisions_about(job, parse_entry(sealed)?));
         }
     }
 }
 
-fn open(sealed: &SealedEntry) -> Result<JournalEntry, Problem> {
+fn parse_entry(sealed: &SealedEntry) -> Result<JournalEntry, Problem> {
     sealed.open().map_err(|error| Problem::new(ErrorKind::Internal, error.to_string()))
 }
 
--- a/crates/teaseltrack-entry/src/operators/server.rs
+++ b/crates/teaseltrack-entry/src/operators/server.rs
@@ -1,7 +1,7 @@
-//! HTTP/JSON for operators.
+//! HTTP/JSON interface for operators.
 //!
-//! `POST /records/{kind}/{name}` submits, `PUT` amends and `DELETE` withdraws, both with `If-Match`.
-//! `POST /notices/{watch}/{notice}` tells a watch of a notice. `GET` reads `/records`,
+//! `POST /records/{kind}/{name}` submits; `PUT` amends and `DELETE` withdraws, both with
+//! `If-Match`. `POST /notices/{watch}/{notice}` sends a notice to a watch. `GET` reads `/records`,
 //! `/records/{kind}/{name}`, `/jobs/{job}`, `/explain/{job}`, `/history`, `/history/{stream}` and
 //! `/status`.
 
@@ -25,22 +25,22 @@
     queries,
 };
 
-/// Largest record, in bytes.
+/// Maximum size of a record, in bytes.
 const MAX_RECORD_BYTES: usize = 256 << 10;
 
-type Answer = Result<Response<ResponseBody>, Problem>;
+type HandlerResult = Result<Response<ResponseBody>, Problem>;
 
-/// Answers one command or query.
-pub async fn answer(context: CommandContext, request: Request<Incoming>) -> Response<ResponseBody> {
+/// Handles one command or query.
+pub async fn handle(context: CommandContext, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let path = parts.uri.path().to_owned();
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
-    let answer = if parts.method == Method::GET {
+    let result = if parts.method == Method::GET {
         query(&context, &parts, &segments).await
     } else {
         command(&context, &parts, &segments, body).await
     };
-    answer.unwrap_or_else(Problem::into_response)
+    result.unwrap_or_else(Problem::into_response)
 }
 
 fn invalid(detail: impl Into<String>) -> Problem {
@@ -52,31 +52,31 @@
     Problem::new(ErrorKind::NotFound, detail)
 }
 
-fn kind_of(name: &str) -> Result<RecordKind, Problem> {
+fn parse_kind(name: &str) -> Result<RecordKind, Problem> {
     RecordKind::from_name(name)
         .ok_or_else(|| invalid(format!("kind: `{name}` must be service, job, watch or team")))
 }
 
-fn ok<T: Serialize>(value: &T) -> Answer {
+fn ok<T: Serialize>(value: &T) -> HandlerResult {
     Ok(json_response(200, value))
 }
 
-async fn query(context: &CommandContext, parts: &Parts, segments: &[&str]) -> Answer {
+async fn query(context: &CommandContext, parts: &Parts, segments: &[&str]) -> HandlerResult {
     let store = &context.store;
     match segments {
         ["records"] => {
-            let kind = parameter(parts, "kind").map(kind_of).transpose()?;
+            let kind = query_parameter(parts, "kind").map(parse_kind).transpose()?;
             ok(&queries::list_records(store, kind).await?)
         }
         ["records", kind, name] => {
-            tagged(200, &queries::show_record(store, kind_of(kind)?, name).await?)
+            record_response(200, &queries::show_record(store, parse_kind(kind)?, name).await?)
         }
         ["jobs", job] => ok(&queries::show_job(store, job).await?),
         ["explain", job] => ok(&queries::explain_job(store, job).await?),
         ["status"] => ok(&queries::fleet_status(&context.node)),
         ["history"] => ok(&queries::list_streams()),
         ["history", stream] => {
-            let after = parameter(parts, "after").unwrap_or("0");
+            let after = query_parameter(parts, "after").unwrap_or("0");
             let after = after
                 .parse()
                 .map_err(|_| invalid(format!("after: `{after}` must be a sequence number")))?;
@@ -91,12 +91,12 @@
     parts: &Parts,
     segments: &[&str],
     body: Incoming,
-) -> Answer {
+) -> HandlerResult {
     let author = author(&parts.headers)?;
     let (kind, name) = match segments {
-        ["records", kind, name] => (kind_of(kind)?, (*name).to_owned()),
+        ["records", kind, name] => (parse_kind(kind)?, (*name).to_owned()),
         ["notices", watch, notice] if parts.method == Method::POST => {
-            return tagged(201, &context.notify(watch, notice, &author).await?);
+            return record_response(201, &context.notify(watch, notice, &author).await?);
         }
         _ => return Err(unknown_path(parts)),
     };
@@ -106,20 +106,23 @@
         Method::DELETE => ChangeAction::Withdraw,
         _ => return Err(invalid("method: must be GET, POST, PUT or DELETE")),
     };
-    let seen_revision =
-        if action == ChangeAction::Submit { None } else { Some(seen_revision(&parts.headers)?) };
+    let expected_revision = if action == ChangeAction::Submit {
+        None
+    } else {
+        Some(expected_revision(&parts.headers)?)
+    };
     let submitted = if action == ChangeAction::Withdraw {
         None
     } else {
         Some(read_json::<SubmittedRecord>(body, MAX_RECORD_BYTES).await?)
     };
-    let request = ChangeRequest { action, kind, name, author, seen_revision, submitted };
+    let request = ChangeRequest { action, kind, name, author, expected_revision, submitted };
     let status = if action == ChangeAction::Submit { 201 } else { 200 };
-    tagged(status, &context.change(request).await?)
+    record_response(status, &context.change(request).await?)
 }
 
-/// A record, with its revision as the entity tag.
-fn tagged(status: u16, record: &Record) -> Answer {
+/// Creates a response with a record, and its revision as the entity tag.
+fn record_response(status: u16, record: &Record) -> HandlerResult {
     let mut response = json_response(status, record);
     if let Ok(tag) = HeaderValue::from_str(&format!("\"{}\"", record.revision)) {
         response.headers_mut().insert(header::ETAG, tag);
@@ -133,7 +136,7 @@
     author.map(str::to_owned).ok_or_else(|| invalid("x-author: must name the operator"))
 }
 
-fn seen_revision(map: &HeaderMap) -> Result<Revision, Problem> {
+fn expected_revision(map: &HeaderMap) -> Result<Revision, Problem> {
     let tag = map.get(header::IF_MATCH).and_then(|value| value.to_str().ok());
     let tag = tag.ok_or_else(|| invalid("if-match: must name the revision that was seen"))?;
     tag.trim_matches('"')
@@ -141,7 +144,7 @@
         .map_err(|_| invalid(format!("if-match: `{tag}` must be a revision number")))
 }
 
-fn parameter<'a>(parts: &'a Parts, name: &str) -> Option<&'a str> {
+fn query_parameter<'a>(parts: &'a Parts, name: &str) -> Option<&'a str> {
     let query = parts.uri.query()?;
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
--- a/crates/teaseltrack-entry/src/options.rs
+++ b/crates/teaseltrack-entry/src/options.rs
@@ -1,3 +1,3 @@
-//! What an operator sets for an entry.
+//! Configuration options of an entry.
 
 pub mod config;
--- a/crates/teaseltrack-entry/src/options/config.rs
+++ b/crates/teaseltrack-entry/src/options/config.rs
@@ -1,4 +1,4 @@
-//! The entry's settings file.
+//! Settings file of the entry.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// The instance.
+    /// Identity and location of the instance.
     pub instance: InstanceSettings,
     /// Membership and control calls.
     pub control: ControlSettings,
@@ -21,9 +21,9 @@
     pub callers: CallerSettings,
     /// Commands and queries from operators.
     pub operators: OperatorSettings,
-    /// The platform's store.
+    /// Connection to the platform's store.
     pub platform: PlatformSettings,
-    /// Liveness, readiness and status.
+    /// Health port for liveness, readiness and status.
     pub health: HealthSettings,
     /// Logs, metrics and traces.
     #[serde(default)]
@@ -34,15 +34,16 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerSettings {
-    /// Address on which callers' requests arrive, `IP:port`.
+    /// Listen address for callers' requests, `IP:port`.
     pub address: SocketAddr,
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     #[serde(default = "default_max_connections")]
     pub max_connections: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: usize,
-    /// Time for the balancer to notice a planned stop, in milliseconds.
+    /// Time between the loss of readiness and the close of the listeners in a graceful shutdown, so
+    /// that load balancers can react, in milliseconds.
     #[serde(default = "default_drain_grace_ms")]
     pub drain_grace_ms: u64,
 }
@@ -51,7 +52,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Address on which commands and queries arrive, `IP:port`.
+    /// Listen address for commands and queries, `IP:port`.
     pub address: SocketAddr,
 }
 
@@ -68,11 +69,11 @@
 }
 
 impl EntrySettings {
-    /// Checks the values.
+    /// Validates the values.
     ///
     /// # Errors
     ///
-    /// The first key with an impossible value.
+    /// The first key with an invalid value.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.instance.check()?;
         self.control.check()?;
--- a/crates/teaseltrack-entry/tests/settings.rs
+++ b/crates/teaseltrack-entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file and the `--check` flag.
+//! Validation of the settings file with the `--check` flag.
 
 use std::{fs, path::Path, process::Command};
 
@@ -7,7 +7,7 @@
 
 const SAMPLE: &str = include_str!("../../../sample_settings/entry.toml");
 
-/// Runs the program with `--check`; its exit code and what it wrote to standard error.
+/// Runs the entry with `--check`; returns its exit code and standard error.
 fn check(settings: &str) -> (Option<i32>, String) {
     let directory = TempDir::new().unwrap();
     let path = directory.path().join("entry.toml");
