--- a/crates/teaseltrack-cli/src/client.rs
+++ b/crates/teaseltrack-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to an entry's operators' port.
+//! Client for the operator interface of an entry.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,38 +11,38 @@
 use teaseltrack_daemon::http_client::{CallError, HttpClient, parse_response};
 use teaseltrack_wire::headers;
 
-/// Exit code of a refusal.
+/// Exit code if the entry refused or can't be reached, so that nothing changed.
 pub const EXIT_REFUSED: u8 = 1;
-/// Exit code of bad input.
+/// Exit code for invalid input.
 pub const EXIT_BAD_INPUT: u8 = 2;
-/// Exit code of a command whose outcome is unknown.
-pub const EXIT_UNKNOWN: u8 = 3;
-/// Exit code of a history that isn't whole.
-pub const EXIT_BROKEN_HISTORY: u8 = 4;
+/// Exit code if the outcome of a command is unknown.
+pub const EXIT_UNKNOWN_OUTCOME: u8 = 3;
+/// Exit code if the hash chain of the history is inconsistent.
+pub const EXIT_INCONSISTENT_HISTORY: u8 = 4;
 
-/// Time for an entry to answer.
-const TIMEOUT: Duration = Duration::from_secs(15);
+/// Timeout of a call to an entry.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why a command or query failed.
+/// Failure of a command or query.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CliError {
-    /// The input can't be used.
+    /// The input is invalid.
     #[snafu(display("{message}"))]
     BadInput {
-        /// What is wrong, naming the field.
+        /// Description of the error, with the name of the field.
         message: String,
     },
-    /// The entry refused, or didn't answer.
+    /// The entry refused or didn't respond.
     #[snafu(display("{source}"))]
     Call {
         /// Cause.
         #[snafu(source(from(CallError, Box::new)))]
         source: Box<CallError>,
     },
-    /// The history isn't whole.
+    /// The hash chain of the history is inconsistent.
     #[snafu(display("{source}"))]
-    BrokenHistory {
+    InconsistentHistory {
         /// Cause.
         source: ChainError,
     },
@@ -53,19 +53,19 @@
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::BadInput { .. } => EXIT_BAD_INPUT,
-            Self::BrokenHistory { .. } => EXIT_BROKEN_HISTORY,
+            Self::InconsistentHistory { .. } => EXIT_INCONSISTENT_HISTORY,
             Self::Call { source } => match source.as_ref() {
                 CallError::Refused { problem } if problem.outcome == Outcome::NotRun => {
                     EXIT_REFUSED
                 }
                 CallError::Unreachable { .. } => EXIT_REFUSED,
-                _ => EXIT_UNKNOWN,
+                _ => EXIT_UNKNOWN_OUTCOME,
             },
         }
     }
 }
 
-/// Client of an entry's operators' port.
+/// Client for the operator interface of an entry.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     client: HttpClient,
@@ -74,30 +74,30 @@
 }
 
 impl OperatorClient {
-    /// A client on behalf of an operator.
+    /// Creates a client for commands by `author`.
     pub fn new(entry: SocketAddr, author: String) -> Self {
-        Self { client: HttpClient::new(TIMEOUT), entry, author }
+        Self { client: HttpClient::new(CALL_TIMEOUT), entry, author }
     }
 
-    /// Gets an answer to a query.
+    /// Sends a query.
     ///
     /// # Errors
     ///
-    /// A refusal or no answer.
+    /// The entry refused or didn't respond.
     pub async fn query<T: DeserializeOwned>(&self, path_and_query: &str) -> Result<T, CliError> {
         self.client.get(self.entry, path_and_query).await.context(CallSnafu)
     }
 
-    /// Gives a command; `seen_revision` guards against other operators' changes.
+    /// Sends a command; the entry refuses it if the record is no longer at `expected_revision`.
     ///
     /// # Errors
     ///
-    /// A refusal or no answer.
+    /// The entry refused or didn't respond.
     pub async fn command<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
-        seen_revision: Option<Revision>,
+        expected_revision: Option<Revision>,
         body: Option<&B>,
     ) -> Result<T, CliError> {
         let text = body.map(serde_json::to_vec).transpose();
@@ -107,13 +107,13 @@
             .uri(format!("http://{}{path}", self.entry))
             .header(header::CONTENT_TYPE, "application/json")
             .header(headers::AUTHOR, &self.author);
-        if let Some(revision) = seen_revision {
+        if let Some(revision) = expected_revision {
             request = request.header(header::IF_MATCH, format!("\"{revision}\""));
         }
         let request = request
             .body(Full::<Bytes>::from(text.unwrap_or_default()))
             .map_err(|error| CliError::BadInput { message: error.to_string() })?;
-        let answer = self.client.send(self.entry, request).await.context(CallSnafu)?;
-        parse_response(&answer).context(CallSnafu)
+        let response = self.client.send(self.entry, request).await.context(CallSnafu)?;
+        parse_response(&response).context(CallSnafu)
     }
 }
--- a/crates/teaseltrack-cli/src/commands.rs
+++ b/crates/teaseltrack-cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! Commands: each changes one record, or nothing.
+//! Commands, each of which atomically changes one record.
 
 use std::{fs, path::Path};
 
@@ -16,34 +16,34 @@
     output::Output,
 };
 
-/// A record as an operator writes it.
+/// Record file written by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordFile {
     /// Kind of the record.
     pub kind: RecordKind,
-    /// Its name.
+    /// Name of the record.
     pub name: String,
-    /// Version of the schema that the body is written in.
+    /// Schema version of the body.
     pub schema_version: u32,
-    /// The specification.
+    /// Specification of the record.
     pub body: Value,
 }
 
 impl RecordFile {
-    /// Reads and checks a record's file.
+    /// Reads and validates a record file.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or has an unknown or impossible field.
+    /// The file can't be read, or has an unknown field or an invalid value.
     pub fn read(path: &Path) -> Result<Self, CliError> {
-        let bad = |message: String| CliError::BadInput {
+        let bad_input = |message: String| CliError::BadInput {
             message: format!("{}: {message}", path.display()),
         };
-        let text = fs::read_to_string(path).map_err(|error| bad(error.to_string()))?;
-        let file: Self = toml::from_str(&text).map_err(|error| bad(error.to_string()))?;
+        let text = fs::read_to_string(path).map_err(|error| bad_input(error.to_string()))?;
+        let file: Self = toml::from_str(&text).map_err(|error| bad_input(error.to_string()))?;
         parse_spec(file.kind, file.schema_version, &file.body)
-            .map_err(|error| bad(error.to_string()))?;
+            .map_err(|error| bad_input(error.to_string()))?;
         Ok(file)
     }
 
@@ -64,7 +64,7 @@
 ///
 /// # Errors
 ///
-/// Bad input, a refusal or no answer.
+/// The input is invalid, or the entry refused or didn't respond.
 pub async fn submit(client: &OperatorClient, file: &Path) -> Result<Output, CliError> {
     let file = RecordFile::read(file)?;
     let record: Record =
@@ -72,11 +72,11 @@
     Ok(Output::record("submitted", &record))
 }
 
-/// Gives a record a new body.
+/// Replaces the body of a record.
 ///
 /// # Errors
 ///
-/// Bad input, a refusal or no answer.
+/// The input is invalid, or the entry refused or didn't respond.
 pub async fn amend(
     client: &OperatorClient,
     file: &Path,
@@ -84,16 +84,17 @@
 ) -> Result<Output, CliError> {
     let file = RecordFile::read(file)?;
     let path = file.path();
-    let seen = Some(seen_revision(client, &path, revision).await?);
-    let record: Record = client.command(Method::PUT, &path, seen, Some(&file.submitted())).await?;
+    let expected_revision = Some(resolve_revision(client, &path, revision).await?);
+    let record: Record =
+        client.command(Method::PUT, &path, expected_revision, Some(&file.submitted())).await?;
     Ok(Output::record("amended", &record))
 }
 
-/// Takes a record out of force.
+/// Withdraws a record, so that it is no longer active.
 ///
 /// # Errors
 ///
-/// A refusal or no answer.
+/// The entry refused or didn't respond.
 pub async fn withdraw(
     client: &OperatorClient,
     kind: &str,
@@ -101,16 +102,17 @@
     revision: Option<Revision>,
 ) -> Result<Output, CliError> {
     let path = record_path(kind, name);
-    let seen = Some(seen_revision(client, &path, revision).await?);
-    let record: Record = client.command(Method::DELETE, &path, seen, None::<&()>).await?;
+    let expected_revision = Some(resolve_revision(client, &path, revision).await?);
+    let record: Record =
+        client.command(Method::DELETE, &path, expected_revision, None::<&()>).await?;
     Ok(Output::record("withdrawn", &record))
 }
 
-/// Tells a watch of a notice.
+/// Sends a notice to a watch.
 ///
 /// # Errors
 ///
-/// A refusal or no answer.
+/// The entry refused or didn't respond.
 pub async fn notify(
     client: &OperatorClient,
     watch: &str,
@@ -121,12 +123,12 @@
     Ok(Output::record("started", &record))
 }
 
-async fn seen_revision(
+async fn resolve_revision(
     client: &OperatorClient,
     path: &str,
-    given: Option<Revision>,
+    revision: Option<Revision>,
 ) -> Result<Revision, CliError> {
-    if let Some(revision) = given {
+    if let Some(revision) = revision {
         return Ok(revision);
     }
     let record: Record = client.query(path).await?;
--- a/crates/teaseltrack-cli/src/lib.rs
+++ b/crates/teaseltrack-cli/src/lib.rs
@@ -1,7 +1,8 @@
-//! The operators' command line.
+//! Command-line interface for operators.
 //!
-//! [`commands`] change records, [`queries`] read records, jobs and history; both talk to an entry's
-//! operators' port through [`client`]. [`output`] writes for people or as JSON.
+//! [`commands`] change records, [`queries`] read records, jobs and history; both call an entry's
+//! operator interface through [`client`]. [`verify`] verifies the hash chains of the history.
+//! [`output`] formats results as text or JSON.
 
 pub mod client;
 pub mod commands;
@@ -24,12 +25,12 @@
 pub fn run_from_command_line() -> ExitCode {
     let matches = args::command().get_matches();
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
-        eprintln!("the runtime can't start");
+        eprintln!("failed to start the async runtime");
         return ExitCode::from(client::EXIT_BAD_INPUT);
     };
     match runtime.block_on(run(&matches)) {
         Ok(output) => {
-            print!("{}", output.text(args::format(&matches)));
+            print!("{}", output.render(args::format(&matches)));
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -39,11 +40,11 @@
     }
 }
 
-/// Carries out one command or query.
+/// Executes one command or query.
 ///
 /// # Errors
 ///
-/// Bad input, a refusal, no answer, or a broken history.
+/// The input is invalid, the entry refused or didn't respond, or the history is inconsistent.
 pub async fn run(matches: &ArgMatches) -> Result<Output, CliError> {
     let client = OperatorClient::new(args::entry(matches), args::author(matches));
     match matches.subcommand() {
@@ -68,6 +69,6 @@
             Some(("verify", _)) => verify::verify_all(&client).await,
             _ => queries::history(&client, args::text(sub, "stream")).await,
         },
-        _ => Err(CliError::BadInput { message: "no such command".to_owned() }),
+        _ => Err(CliError::BadInput { message: "unknown command".to_owned() }),
     }
 }
--- a/crates/teaseltrack-cli/src/main.rs
+++ b/crates/teaseltrack-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Command-line interface for operators.
 
 use std::process::ExitCode;
 
--- a/crates/teaseltrack-cli/src/options.rs
+++ b/crates/teaseltrack-cli/src/options.rs
@@ -1,3 +1,3 @@
-//! What an operator gives on the command line.
+//! Command-line options.
 
 pub mod args;
--- a/crates/teaseltrack-cli/src/options/args.rs
+++ b/crates/teaseltrack-cli/src/options/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition and parsing of the command line.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -9,24 +9,24 @@
 const EXIT_CODES: &str = "Exit codes:\n  \
     0  done\n  \
     1  refused, nothing changed\n  \
-    2  bad input\n  \
-    3  no answer: whether anything changed is unknown\n  \
-    4  the history isn't whole";
+    2  invalid input\n  \
+    3  no response: whether anything changed is unknown\n  \
+    4  the history is inconsistent";
 
 const DEFAULT_ENTRY: &str = "127.0.0.1:7102";
 
-/// The command line, for clap.
+/// Defines the command line.
 pub fn command() -> Command {
     Command::new("teaseltrack")
         .version(clap::crate_version!())
-        .about("Submits, amends and withdraws records, and reads what was decided and why")
+        .about("Submits, amends and withdraws records, and shows decisions and their reasons")
         .after_help(EXIT_CODES)
         .subcommand_required(true)
         .arg(
             Arg::new("entry")
                 .long("entry")
                 .value_name("IP:PORT")
-                .help("Operators' port of an entry")
+                .help("Address of an entry's operator interface")
                 .global(true)
                 .default_value(DEFAULT_ENTRY)
                 .value_parser(value_parser!(SocketAddr)),
@@ -35,14 +35,14 @@
             Arg::new("author")
                 .long("author")
                 .value_name("NAME")
-                .help("Operator on whose behalf commands are given")
+                .help("Operator recorded as the author of commands")
                 .global(true)
                 .default_value("operator"),
         )
         .arg(
             Arg::new("format")
                 .long("format")
-                .help("Output for people or for programs")
+                .help("Output format")
                 .global(true)
                 .default_value("text")
                 .value_parser(["text", "json"]),
@@ -55,16 +55,16 @@
     [
         Command::new("submit").about("Submits a new record").arg(file_arg()),
         Command::new("amend")
-            .about("Gives a record a new body")
+            .about("Replaces the body of a record")
             .arg(file_arg())
             .arg(revision_arg()),
         Command::new("withdraw")
-            .about("Takes a record out of force")
+            .about("Withdraws a record, so that it is no longer active")
             .arg(text_arg("kind", "service, job, watch or team"))
             .arg(text_arg("name", "Name of the record"))
             .arg(revision_arg()),
         Command::new("notify")
-            .about("Tells a watch of a notice, which it acts on once")
+            .about("Sends a notice to a watch, which starts one job per notice")
             .arg(text_arg("watch", "Name of the watch"))
             .arg(text_arg("notice", "Identifier of the notice")),
     ]
@@ -80,25 +80,25 @@
             .arg(text_arg("kind", "service, job, watch or team"))
             .arg(text_arg("name", "Name of the record")),
         Command::new("history")
-            .about("Shows the decisions of a stream, oldest first")
+            .about("Shows the journal entries of a stream, oldest first")
             .args_conflicts_with_subcommands(true)
             .arg(
                 text_arg("stream", "configuration, or shard-NNNN")
                     .required(false)
                     .default_value("configuration"),
             )
-            .subcommand(Command::new("verify").about("Proves all streams whole")),
+            .subcommand(Command::new("verify").about("Verifies the hash chains of all streams")),
         Command::new("explain")
-            .about("Shows what was decided about a job's tasks, and why")
+            .about("Shows the decisions on a job's tasks and their reasons")
             .arg(text_arg("job", "Name of the job")),
-        Command::new("status").about("Shows the fleet as the entry knows it"),
+        Command::new("status").about("Shows fleet membership as seen by the entry"),
     ]
 }
 
 fn file_arg() -> Arg {
     Arg::new("file")
         .value_name("FILE")
-        .help("Record in TOML: kind, name, schema_version and body")
+        .help("Record file in TOML, with kind, name, schema_version and body")
         .required(true)
         .value_parser(value_parser!(PathBuf))
 }
@@ -111,22 +111,22 @@
     Arg::new("revision")
         .long("revision")
         .value_name("N")
-        .help("Revision that was seen; the current one if absent")
+        .help("Revision that the change is based on; defaults to the current one")
         .value_parser(value_parser!(u64))
 }
 
-/// The entry's operators' port.
+/// Address of the entry's operator interface.
 pub fn entry(matches: &ArgMatches) -> SocketAddr {
     let default = || SocketAddr::from(([127, 0, 0, 1], 7_102));
     matches.get_one("entry").copied().unwrap_or_else(default)
 }
 
-/// The operator.
+/// Author of commands.
 pub fn author(matches: &ArgMatches) -> String {
     matches.get_one::<String>("author").cloned().unwrap_or_default()
 }
 
-/// The output format.
+/// Output format.
 pub fn format(matches: &ArgMatches) -> Format {
     match matches.get_one::<String>("format").map(String::as_str) {
         Some("json") => Format::Json,
@@ -134,22 +134,22 @@
     }
 }
 
-/// The record's file.
+/// Path of the record file.
 pub fn file(matches: &ArgMatches) -> PathBuf {
     matches.get_one::<PathBuf>("file").cloned().unwrap_or_default()
 }
 
-/// The revision that was seen.
+/// Revision that the change is based on.
 pub fn revision(matches: &ArgMatches) -> Option<u64> {
     matches.get_one("revision").copied()
 }
 
-/// A required text.
+/// Value of a required string argument.
 pub fn text<'a>(matches: &'a ArgMatches, name: &str) -> &'a str {
     optional_text(matches, name).unwrap_or_default()
 }
 
-/// A text that may be absent.
+/// Value of an optional string argument.
 pub fn optional_text<'a>(matches: &'a ArgMatches, name: &str) -> Option<&'a str> {
     matches.get_one::<String>(name).map(String::as_str)
 }
--- a/crates/teaseltrack-cli/src/output.rs
+++ b/crates/teaseltrack-cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Output for people and for programs.
+//! Output formats: text and JSON.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -6,16 +6,16 @@
 use serde_json::{Value, json};
 use teaseltrack::record::Record;
 
-/// How output is written.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For programs.
+    /// JSON, for programs.
     Json,
 }
 
-/// Output in both formats.
+/// Result in both formats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output {
     json: Value,
@@ -23,30 +23,30 @@
 }
 
 impl Output {
-    /// Output of a value, with its text for people.
+    /// Creates an output from a value and its text.
     pub fn new<T: Serialize>(value: &T, text: String) -> Self {
         Self { json: serde_json::to_value(value).unwrap_or_default(), text }
     }
 
-    /// Output of a record.
-    pub fn record(what: &str, record: &Record) -> Self {
+    /// Creates the output for a record after an action.
+    pub fn record(action: &str, record: &Record) -> Self {
         let Record { kind, name, revision, author, schema_version, .. } = record;
         let text = format!(
-            "{what}: {} {name}, revision {revision} by {author}, schema version {schema_version}\n{}\n",
+            "{action}: {} {name}, revision {revision} by {author}, schema version {schema_version}\n{}\n",
             kind.as_str(),
             serde_json::to_string_pretty(&record.body).unwrap_or_default()
         );
         Self::new(record, text)
     }
 
-    /// Adds a field and its text.
+    /// Adds a field to the JSON, and its text to the text.
     pub fn append<T: Serialize>(&mut self, field: &str, value: &T, text: &str) {
         self.json[field] = json!(value);
         self.text.push_str(text);
     }
 
-    /// The output in a format.
-    pub fn text(&self, format: Format) -> String {
+    /// Renders the output in a format.
+    pub fn render(&self, format: Format) -> String {
         match format {
             Format::Text => self.text.clone(),
             Format::Json => format!("{}\n", self.json),
@@ -54,25 +54,25 @@
     }
 }
 
-/// A table for people.
+/// Text table with aligned columns.
 #[derive(Clone, Debug)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with a head.
-    pub fn new<const N: usize>(head: [&str; N]) -> Self {
-        Self { rows: vec![head.iter().map(|&cell| cell.to_owned()).collect()] }
+    /// Creates a table with a header row.
+    pub fn new<const N: usize>(header: [&str; N]) -> Self {
+        Self { rows: vec![header.iter().map(|&cell| cell.to_owned()).collect()] }
     }
 
-    /// Adds a row.
-    pub fn row<const N: usize>(&mut self, cells: [String; N]) {
+    /// Appends a row with one cell per column.
+    pub fn add_row<const N: usize>(&mut self, cells: [String; N]) {
         self.rows.push(cells.to_vec());
     }
 
-    /// The table as aligned text.
-    pub fn text(&self) -> String {
+    /// Renders the table, with columns padded to equal width.
+    pub fn render(&self) -> String {
         let columns = self.rows.first().map_or(0, Vec::len);
         let width = |column: usize| {
             self.rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0)
@@ -92,7 +92,7 @@
     }
 }
 
-/// A time for people, in UTC to the millisecond.
-pub fn time_text(at_ms: u64) -> String {
+/// Formats a time in UTC as RFC 3339, with milliseconds.
+pub fn format_time(at_ms: u64) -> String {
     humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(at_ms)).to_string()
 }
--- a/crates/teaseltrack-cli/src/queries.rs
+++ b/crates/teaseltrack-cli/src/queries.rs
@@ -1,4 +1,4 @@
-//! Queries: nothing changes.
+//! Read-only queries.
 
 use teaseltrack::{
     journal::{EntryBody, JournalEntry, SealedEntry},
@@ -9,20 +9,20 @@
 
 use crate::{
     client::{CliError, OperatorClient},
-    output::{Output, Table, time_text},
+    output::{Output, Table, format_time},
 };
 
 /// Lists records.
 ///
 /// # Errors
 ///
-/// A refusal or no answer.
+/// The entry refused or didn't respond.
 pub async fn list(client: &OperatorClient, kind: Option<&str>) -> Result<Output, CliError> {
     let query = kind.map_or(String::new(), |kind| format!("?kind={kind}"));
     let records: Vec<Record> = client.query(&format!("/records{query}")).await?;
     let mut table = Table::new(["KIND", "NAME", "SCHEMA", "REVISION", "AUTHOR", "IN FORCE"]);
     for record in &records {
-        table.row([
+        table.add_row([
             record.kind.as_str().to_owned(),
             record.name.clone(),
             record.schema_version.to_string(),
@@ -31,14 +31,14 @@
             if record.is_withdrawn { "no" } else { "yes" }.to_owned(),
         ]);
     }
-    Ok(Output::new(&records, table.text()))
+    Ok(Output::new(&records, table.render()))
 }
 
 /// Shows a record, and the tasks of a job.
 ///
 /// # Errors
 ///
-/// A refusal or no answer.
+/// The entry refused or didn't respond.
 pub async fn show(client: &OperatorClient, kind: &str, name: &str) -> Result<Output, CliError> {
     let record: Record = client.query(&format!("/records/{kind}/{name}")).await?;
     let mut output = Output::record("record", &record);
@@ -66,41 +66,41 @@
     Ok(output)
 }
 
-/// Shows what was decided about a job.
+/// Shows the decisions on a job and their reasons.
 ///
 /// # Errors
 ///
-/// A refusal or no answer.
+/// The entry refused or didn't respond.
 pub async fn explain(client: &OperatorClient, job: &str) -> Result<Output, CliError> {
     let decisions: Vec<ExplainedDecision> = client.query(&format!("/explain/{job}")).await?;
     let mut table = Table::new(["TIME", "ENTRY", "BY", "DECISION"]);
     for explained in &decisions {
-        table.row([
-            time_text(explained.at_ms),
+        table.add_row([
+            format_time(explained.at_ms),
             explained.sequence.to_string(),
             explained.author.clone(),
             serde_json::to_string(&explained.decision).unwrap_or_default(),
         ]);
     }
-    Ok(Output::new(&decisions, table.text()))
+    Ok(Output::new(&decisions, table.render()))
 }
 
-/// Shows the fleet as the entry knows it.
+/// Shows fleet membership as seen by the entry.
 ///
 /// # Errors
 ///
-/// A refusal or no answer.
+/// The entry refused or didn't respond.
 pub async fn status(client: &OperatorClient) -> Result<Output, CliError> {
     let status: FleetStatus = client.query("/status").await?;
     let mut table = Table::new(["INSTANCE", "ROLE", "ZONE", "STATE", "SERVICE", "SLOTS"]);
     for member in &status.members {
-        table.row(member_row(member));
+        table.add_row(member_cells(member));
     }
-    let text = format!("configuration revision {}\n{}", status.revision, table.text());
+    let text = format!("configuration revision {}\n{}", status.revision, table.render());
     Ok(Output::new(&status, text))
 }
 
-fn member_row(member: &Member) -> [String; 6] {
+fn member_cells(member: &Member) -> [String; 6] {
     let target = member.target.as_ref();
     [
         member.instance.clone(),
@@ -112,41 +112,41 @@
     ]
 }
 
-/// Shows the decisions of a stream.
+/// Shows the journal entries of a stream, oldest first.
 ///
 /// # Errors
 ///
-/// A refusal, no answer, or an entry that can't be read.
+/// The entry refused or didn't respond, or a journal entry can't be parsed.
 pub async fn history(client: &OperatorClient, stream: &str) -> Result<Output, CliError> {
     let mut table = Table::new(["ENTRY", "TIME", "BY", "WHAT"]);
-    let mut all: Vec<JournalEntry> = Vec::new();
+    let mut journal_entries: Vec<JournalEntry> = Vec::new();
     loop {
-        let after = all.last().map_or(0, |entry| entry.sequence);
-        let page = page_after(client, stream, after).await?;
+        let after = journal_entries.last().map_or(0, |entry| entry.sequence);
+        let page = fetch_page(client, stream, after).await?;
         if page.entries.is_empty() {
             break;
         }
         for sealed in &page.entries {
-            all.push(open(stream, sealed)?);
+            journal_entries.push(parse_entry(stream, sealed)?);
         }
     }
-    for entry in &all {
-        table.row([
+    for entry in &journal_entries {
+        table.add_row([
             entry.sequence.to_string(),
-            time_text(entry.at_ms),
+            format_time(entry.at_ms),
             entry.author.clone(),
             summary(&entry.body),
         ]);
     }
-    Ok(Output::new(&all, table.text()))
+    Ok(Output::new(&journal_entries, table.render()))
 }
 
-/// Entries of a stream after a sequence number.
+/// Fetches a page of a stream's entries after a sequence number.
 ///
 /// # Errors
 ///
-/// A refusal or no answer.
-pub async fn page_after(
+/// The entry refused or didn't respond.
+pub async fn fetch_page(
     client: &OperatorClient,
     stream: &str,
     after: u64,
@@ -154,7 +154,7 @@
     client.query(&format!("/history/{stream}?after={after}")).await
 }
 
-fn open(stream: &str, sealed: &SealedEntry) -> Result<JournalEntry, CliError> {
+fn parse_entry(stream: &str, sealed: &SealedEntry) -> Result<JournalEntry, CliError> {
     sealed.open().map_err(|error| CliError::BadInput { message: format!("{stream}: {error}") })
 }
 
--- a/crates/teaseltrack-cli/src/verify.rs
+++ b/crates/teaseltrack-cli/src/verify.rs
@@ -1,41 +1,41 @@
-//! Proves the history whole: every hash is worked out again here, on the operator's side.
+//! Verification of the history: recomputes every hash on the operator's machine.
 
 use serde::Serialize;
 use snafu::ResultExt;
 use teaseltrack::journal::ChainPosition;
 
 use crate::{
-    client::{BrokenHistorySnafu, CliError, OperatorClient},
+    client::{CliError, InconsistentHistorySnafu, OperatorClient},
     output::{Output, Table},
-    queries::page_after,
+    queries::fetch_page,
 };
 
-/// A stream that was proved whole.
+/// Stream whose hash chain was verified.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct VerifiedStream {
     /// Name of the stream.
     pub stream: String,
-    /// Entries that were proved.
+    /// Number of verified entries.
     pub entries: u64,
-    /// Hash of the last one.
+    /// Hash of the last entry.
     pub hash: String,
 }
 
-/// Proves all streams whole.
+/// Verifies the hash chains of all streams.
 ///
 /// # Errors
 ///
-/// The first entry that is missing or doesn't follow, a refusal, or no answer.
+/// An entry is missing or doesn't match the chain, or the entry daemon refused or didn't respond.
 pub async fn verify_all(client: &OperatorClient) -> Result<Output, CliError> {
     let verified = verify_streams(client).await?;
     let mut table = Table::new(["STREAM", "ENTRIES", "HASH"]);
     for stream in &verified {
-        table.row([stream.stream.clone(), stream.entries.to_string(), stream.hash.clone()]);
+        table.add_row([stream.stream.clone(), stream.entries.to_string(), stream.hash.clone()]);
     }
-    Ok(Output::new(&verified, table.text()))
+    Ok(Output::new(&verified, table.render()))
 }
 
-/// Proves all streams whole, and says how long they are.
+/// Verifies the hash chains of all streams, and returns their lengths and last hashes.
 ///
 /// # Errors
 ///
@@ -55,13 +55,13 @@
 ) -> Result<VerifiedStream, CliError> {
     let mut position = ChainPosition::default();
     loop {
-        let page = page_after(client, &stream, position.sequence).await?;
+        let page = fetch_page(client, &stream, position.sequence).await?;
         if page.entries.is_empty() {
             let ChainPosition { sequence: entries, hash } = position;
             return Ok(VerifiedStream { stream, entries, hash });
         }
         for sealed in &page.entries {
-            position.advance(&stream, Some(sealed)).context(BrokenHistorySnafu)?;
+            position.advance(&stream, Some(sealed)).context(InconsistentHistorySnafu)?;
         }
     }
 }
--- a/crates/teaseltrack-cli/tests/command_line.rs
+++ b/crates/teaseltrack-cli/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line as a process.
+//! Exit codes and error messages of the command line, run as a process.
 
 use std::{fs, process::Command};
 
