--- a/crates/teaseltrack-lab/src/demo.rs
+++ b/crates/teaseltrack-lab/src/demo.rs
@@ -66,7 +66,7 @@
         step("an agent with running tasks stops as planned");
         fleet.stop_agent(STOPPED_AGENT).await;
         step("a target leaves as planned");
-        fleet.targets[LEAVING_TARGET].leave().await;
+        fleet.targets[LEAVING_TARGET].shut_down().await;
         Ok(())
     };
     let (urgent, background, events) = join!(send_load(urgent), send_load(background), events);
@@ -149,7 +149,7 @@
         ("requests refused as not run", sum(|verdict| verdict.not_run)),
         ("requests unknown", sum(|verdict| verdict.unknown)),
         ("requests lost", sum(|verdict| verdict.lost + verdict.truncated)),
-        ("requests answered wrongly", sum(|verdict| verdict.wrong)),
+        ("requests answered wrongly", sum(|verdict| verdict.mismatched)),
         ("requests refused falsely", sum(|verdict| verdict.false_not_run)),
         ("requests duplicated", ran.duplicated),
         ("requests beyond capacity", ran.over_capacity),
@@ -170,11 +170,11 @@
             result.latency_ms(0.99)
         );
     }
-    let broken =
-        sum(|verdict| verdict.lost + verdict.truncated + verdict.wrong + verdict.false_not_run)
-            + ran.duplicated
-            + ran.over_capacity
-            + tasks.duplicated()
-            + tasks.in_two_places;
+    let broken = sum(|verdict| {
+        verdict.lost + verdict.truncated + verdict.mismatched + verdict.false_not_run
+    }) + ran.duplicated
+        + ran.over_capacity
+        + tasks.duplicated()
+        + tasks.in_two_places;
     broken == 0 && sum(|verdict| verdict.answered) > 0
 }
--- a/crates/teaseltrack-lab/src/experiments/chaos.rs
+++ b/crates/teaseltrack-lab/src/experiments/chaos.rs
@@ -12,7 +12,7 @@
     LabError,
     experiments::soak::{JOB_TASKS, explain_duplicated, explain_unfinished, submit_jobs},
     fleet::{FleetPlan, wait_until},
-    load::{Ending, LoadPlan, send_load},
+    load::{LoadPlan, RequestOutcome, send_load},
     operator::Operator,
     platform::{Faults, Outage},
     processes::ProcessFleet,
@@ -102,7 +102,7 @@
     report.count("answered", verdict.answered);
     report.count("not_run", verdict.not_run);
     report.count("unknown", verdict.unknown);
-    report.count("late", result.count(Ending::Late));
+    report.count("late", result.count(RequestOutcome::Late));
     report.count("truncated", verdict.truncated);
     report.count("tasks", expected as u64);
     report.count("tasks_unfinished", (expected - tasks.done.len().min(expected)) as u64);
@@ -111,7 +111,7 @@
     report.count("history_entries", verified.iter().map(|stream| stream.entries).sum());
     let broken = [
         ("lost", verdict.lost),
-        ("wrong", verdict.wrong),
+        ("wrong", verdict.mismatched),
         ("false_not_run", verdict.false_not_run),
         ("duplicated", verdict.duplicated),
         ("over_capacity", verdict.over_capacity),
@@ -176,7 +176,7 @@
                 self.fleet.platform.set_faults(Faults::default());
             }
             Fault::LostAnswers => {
-                let faults = Faults { lost_answer_ratio: 0.4, ..Faults::default() };
+                let faults = Faults { lost_response_ratio: 0.4, ..Faults::default() };
                 self.fleet.platform.set_faults(faults);
                 sleep(long).await;
                 self.fleet.platform.set_faults(Faults::default());
--- a/crates/teaseltrack-lab/src/experiments/drain.rs
+++ b/crates/teaseltrack-lab/src/experiments/drain.rs
@@ -8,7 +8,7 @@
     LabError,
     fleet::FleetPlan,
     ledger::LedgerEvent,
-    load::{Ending, LoadPlan, send_load},
+    load::{LoadPlan, RequestOutcome, send_load},
     operator::Operator,
     processes::ProcessFleet,
     report::Report,
@@ -78,9 +78,10 @@
     report.count("answered", verdict.answered + entry_verdict.answered);
     report.count("not_run", verdict.not_run + entry_verdict.not_run);
     let interrupted = |verdict: crate::load::Verdict| {
-        verdict.unknown + verdict.truncated + verdict.lost + verdict.wrong
+        verdict.unknown + verdict.truncated + verdict.lost + verdict.mismatched
     };
-    let cut = result.count(Ending::ConnectionLost) + at_entry.count(Ending::ConnectionLost);
+    let cut =
+        result.count(RequestOutcome::ConnectFailed) + at_entry.count(RequestOutcome::ConnectFailed);
     report.count("interrupted", interrupted(verdict) + interrupted(entry_verdict) + cut);
     report.count("accepted_after_drain", accepted_after_drain);
     report.count("duplicated", verdict.duplicated);
--- a/crates/teaseltrack-lab/src/experiments/flood.rs
+++ b/crates/teaseltrack-lab/src/experiments/flood.rs
@@ -7,7 +7,7 @@
 use crate::{
     LabError,
     fleet::{Fleet, FleetPlan, wait_until},
-    load::{Ending, LoadPlan, LoadResult, send_load},
+    load::{LoadPlan, LoadResult, RequestOutcome, send_load},
     operator::Operator,
     report::Report,
     target::TargetBehaviour,
@@ -53,12 +53,13 @@
             let others = (0..URGENCIES.len()).filter(|class| *class != flooding);
             let (mut kept, mut before) = (0, 0);
             for class in others {
-                kept += flooded[class].count(Ending::Answered);
-                before += quiet[class].count(Ending::Answered);
+                kept += flooded[class].count(RequestOutcome::Answered);
+                before += quiet[class].count(RequestOutcome::Answered);
             }
             let ratio = kept as f64 / before as f64;
             report.set(&format!("{prefix}goodput_ratio_{name}_flood"), ratio);
-            let answered: u64 = flooded.iter().map(|load| load.count(Ending::Answered)).sum();
+            let answered: u64 =
+                flooded.iter().map(|load| load.count(RequestOutcome::Answered)).sum();
             let per_s = answered as f64 / LOAD_TIME.as_secs_f64();
             report.set(&format!("{prefix}goodput_per_s_{name}_flood"), per_s);
         }
@@ -110,7 +111,7 @@
             ..LoadPlan::default()
         })
         .await;
-        result.count(Ending::Answered) == result.requests.len() as u64
+        result.count(RequestOutcome::Answered) == result.requests.len() as u64
     })
     .await;
     if is_ready { Ok(()) } else { Err("the fleet isn't ready".into()) }
--- a/crates/teaseltrack-lab/src/experiments/kill.rs
+++ b/crates/teaseltrack-lab/src/experiments/kill.rs
@@ -8,7 +8,7 @@
 use crate::{
     LabError,
     fleet::FleetPlan,
-    load::{Ending, LoadPlan, LoadResult, send_load},
+    load::{LoadPlan, LoadResult, RequestOutcome, send_load},
     operator::Operator,
     processes::ProcessFleet,
     report::Report,
@@ -52,9 +52,10 @@
     report.count("answered", verdict.answered);
     report.count("not_run", verdict.not_run);
     report.count("unknown", verdict.unknown);
-    report.count("late", result.count(Ending::Late));
-    report.count("lost", verdict.lost + verdict.wrong);
-    report.count("connections_cut", verdict.truncated + result.count(Ending::ConnectionLost));
+    report.count("late", result.count(RequestOutcome::Late));
+    report.count("lost", verdict.lost + verdict.mismatched);
+    report
+        .count("connections_cut", verdict.truncated + result.count(RequestOutcome::ConnectFailed));
     report.count("duplicated", verdict.duplicated);
     report.count("false_not_run", verdict.false_not_run);
     report.count("over_capacity", verdict.over_capacity);
@@ -94,7 +95,9 @@
     result
         .requests
         .iter()
-        .filter(|request| window.contains(&request.sent_at) && request.ending != Ending::Answered)
+        .filter(|request| {
+            window.contains(&request.sent_at) && request.outcome != RequestOutcome::Answered
+        })
         .map(|request| request.sent_at.duration_since(at))
         .max()
         .unwrap_or(Duration::ZERO)
--- a/crates/teaseltrack-lab/src/experiments/slopes.rs
+++ b/crates/teaseltrack-lab/src/experiments/slopes.rs
@@ -87,11 +87,11 @@
 async fn measure_quiet(fleet: &ProcessFleet, size: usize, report: &mut Report) {
     let before = statuses(&fleet.plan).await;
     let cpu_before = (cpu_s(&fleet.entries), cpu_s(&fleet.agents));
-    let served_before = fleet.platform.served();
+    let served_before = fleet.platform.call_counts();
     sleep(QUIET).await;
     let after = statuses(&fleet.plan).await;
     let cpu_after = (cpu_s(&fleet.entries), cpu_s(&fleet.agents));
-    let served_after = fleet.platform.served();
+    let served_after = fleet.platform.call_counts();
     let quiet_s = QUIET.as_secs_f64();
     let bytes = |statuses: &[Value]| -> f64 {
         statuses
--- a/crates/teaseltrack-lab/src/experiments/soak.rs
+++ b/crates/teaseltrack-lab/src/experiments/soak.rs
@@ -26,7 +26,7 @@
     LabError,
     fleet::{FleetPlan, wait_until},
     ledger::Ledger,
-    load::{Ending, LoadPlan, send_load},
+    load::{LoadPlan, RequestOutcome, send_load},
     operator::{LabJob, Operator},
     platform::{Faults, Outage},
     processes::{ProcessFleet, ProcessKey, Role},
@@ -142,13 +142,13 @@
     report.count("answered", verdict.answered);
     report.count("not_run", verdict.not_run);
     report.count("unknown", verdict.unknown);
-    report.count("late", result.count(Ending::Late));
+    report.count("late", result.count(RequestOutcome::Late));
     report.count("truncated", verdict.truncated);
     report.count("tasks", expected as u64);
     report.count("history_entries", verified.iter().map(|stream| stream.entries).sum());
     let broken = [
         ("lost", verdict.lost),
-        ("wrong", verdict.wrong),
+        ("wrong", verdict.mismatched),
         ("false_not_run", verdict.false_not_run),
         ("tasks_unfinished", u64::from(!is_done)),
     ];
@@ -283,7 +283,7 @@
         }
         sleep(down).await;
         let mut fleet = self.fleet.lock().await;
-        if fleet.process(key).has_ended() { fleet.respawn(key) } else { Ok(()) }
+        if fleet.process(key).has_exited() { fleet.respawn(key) } else { Ok(()) }
     }
 
     /// Asks for a planned stop, and starts the process again once it has ended.
@@ -297,7 +297,7 @@
             if fleet.process(key).id() != id {
                 return Ok(());
             }
-            if fleet.process(key).has_ended() {
+            if fleet.process(key).has_exited() {
                 return fleet.respawn(key);
             }
         }
@@ -310,11 +310,11 @@
         let faults = match rng.random_range(0..5) {
             0 => RelayFaults { delay: SLOW, ..RelayFaults::default() },
             1 => RelayFaults { is_refusing: true, ..RelayFaults::default() },
-            2 => RelayFaults { holds_requests: true, ..RelayFaults::default() },
-            3 => RelayFaults { holds_answers: true, ..RelayFaults::default() },
+            2 => RelayFaults { stalls_requests: true, ..RelayFaults::default() },
+            3 => RelayFaults { stalls_responses: true, ..RelayFaults::default() },
             _ => RelayFaults {
-                holds_requests: true,
-                holds_answers: true,
+                stalls_requests: true,
+                stalls_responses: true,
                 is_refusing: true,
                 ..RelayFaults::default()
             },
@@ -331,7 +331,7 @@
         let faults = match rng.random_range(0..4) {
             0 => Faults { outage: Outage::Silent, ..Faults::default() },
             1 => Faults { outage: Outage::Cut, ..Faults::default() },
-            2 => Faults { lost_answer_ratio: LOST_ANSWERS, ..Faults::default() },
+            2 => Faults { lost_response_ratio: LOST_ANSWERS, ..Faults::default() },
             _ => Faults { latency_ms: SLOW.as_millis() as f64, ..Faults::default() },
         };
         self.fleet.lock().await.platform.set_faults(faults);
@@ -348,7 +348,7 @@
             .flat_map(|index| [(Role::Agent, index), (Role::Target, index), (Role::Worker, index)]);
         for key in instances.chain([(Role::Entry, 1)]) {
             fleet.process(key).signal(Signal::SIGCONT);
-            if fleet.process(key).has_ended() {
+            if fleet.process(key).has_exited() {
                 fleet.respawn(key)?;
             }
         }
--- a/crates/teaseltrack-lab/src/experiments/starts.rs
+++ b/crates/teaseltrack-lab/src/experiments/starts.rs
@@ -50,7 +50,7 @@
     let fleet = Fleet::start(plan).await?;
     sleep(SETTLE).await;
     let operator = Operator::new(fleet.plan.operator_address(0), "lab");
-    let served_before = fleet.platform.served();
+    let served_before = fleet.platform.call_counts();
     let started_at = Instant::now();
     let (batch, urgent) = tokio::join!(submit_batch(&operator), submit_urgent(&operator));
     let (tasks, submitted) = (batch?, urgent?);
@@ -58,7 +58,7 @@
     let is_done =
         wait_until(FINISH_TIMEOUT, || async { fleet.ledger.tasks(&[]).done.len() >= expected })
             .await;
-    let served = fleet.platform.served();
+    let served = fleet.platform.call_counts();
     let first_runs = first_runs(&fleet);
     let last_start = first_runs.values().max().copied().unwrap_or(started_at);
     let ran = fleet.ledger.tasks(&[]);
--- a/crates/teaseltrack-lab/src/load.rs
+++ b/crates/teaseltrack-lab/src/load.rs
@@ -77,7 +77,7 @@
 
 /// How one request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// The whole answer to its own request came in time.
     Answered,
     /// The whole answer came after the time-out.
@@ -87,9 +87,9 @@
     /// Refused with an unknown outcome.
     Unknown,
     /// The connection failed before any answer, so that nothing was promised.
-    ConnectionLost,
+    ConnectFailed,
     /// No answer within the time-out and the caller's patience.
-    Unanswered,
+    TimedOut,
     /// The answer stopped short.
     Truncated,
     /// A whole answer to another request came.
@@ -102,7 +102,7 @@
     /// The request.
     pub request_id: String,
     /// How it ended.
-    pub ending: Ending,
+    pub outcome: RequestOutcome,
     /// When it was sent.
     pub sent_at: Instant,
     /// Time to its end.
@@ -128,7 +128,7 @@
     /// Callers left without answer or refusal.
     pub lost: u64,
     /// Answers that stopped short or belong to another request, and came as if whole.
-    pub wrong: u64,
+    pub mismatched: u64,
     /// Answers cut off, as the caller could see.
     pub truncated: u64,
     /// Refused as not run, although they ran.
@@ -140,16 +140,16 @@
 }
 
 impl LoadResult {
-    /// Requests with the ending.
-    pub fn count(&self, ending: Ending) -> u64 {
-        self.requests.iter().filter(|request| request.ending == ending).count() as u64
+    /// Requests with the outcome.
+    pub fn count(&self, outcome: RequestOutcome) -> u64 {
+        self.requests.iter().filter(|request| request.outcome == outcome).count() as u64
     }
 
-    /// Requests by ending.
-    pub fn counts(&self) -> BTreeMap<Ending, u64> {
+    /// Requests by outcome.
+    pub fn counts(&self) -> BTreeMap<RequestOutcome, u64> {
         let mut counts = BTreeMap::new();
         for request in &self.requests {
-            *counts.entry(request.ending).or_insert(0) += 1;
+            *counts.entry(request.outcome).or_insert(0) += 1;
         }
         counts
     }
@@ -158,7 +158,9 @@
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         let histogram = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, LATENCY_FIGURES);
         let Ok(mut histogram) = histogram else { return f64::NAN };
-        for request in self.requests.iter().filter(|request| request.ending == Ending::Answered) {
+        for request in
+            self.requests.iter().filter(|request| request.outcome == RequestOutcome::Answered)
+        {
             histogram.saturating_record(request.latency.as_micros() as u64);
         }
         histogram.value_at_quantile(quantile) as f64 / 1_000.0
@@ -169,19 +171,19 @@
         let false_not_run = self
             .requests
             .iter()
-            .filter(|request| request.ending == Ending::NotRun)
+            .filter(|request| request.outcome == RequestOutcome::NotRun)
             .filter(|request| ran.runs.contains_key(&request.request_id))
             .count() as u64;
         let own: BTreeSet<&str> =
             self.requests.iter().map(|request| request.request_id.as_str()).collect();
         debug_assert_eq!(own.len(), self.requests.len());
         Verdict {
-            answered: self.count(Ending::Answered),
-            not_run: self.count(Ending::NotRun),
-            unknown: self.count(Ending::Unknown),
-            lost: self.count(Ending::Unanswered),
-            wrong: self.count(Ending::Mismatched),
-            truncated: self.count(Ending::Truncated),
+            answered: self.count(RequestOutcome::Answered),
+            not_run: self.count(RequestOutcome::NotRun),
+            unknown: self.count(RequestOutcome::Unknown),
+            lost: self.count(RequestOutcome::TimedOut),
+            mismatched: self.count(RequestOutcome::Mismatched),
+            truncated: self.count(RequestOutcome::Truncated),
             false_not_run,
             duplicated: ran.duplicated,
             over_capacity: ran.over_capacity,
@@ -244,29 +246,29 @@
         .unwrap_or_default();
     let answer = timeout(plan.timeout + CALLER_PATIENCE, client.send(address, request)).await;
     let latency = sent_at.elapsed();
-    let ending = match answer {
+    let outcome = match answer {
         Ok(Ok(answer)) if answer.status.is_success() => {
             // The target pads its answer to the length of the request's body.
             let is_own = answer.body == expected;
             match (is_own, latency <= plan.timeout) {
-                (false, _) => Ending::Mismatched,
-                (true, true) => Ending::Answered,
-                (true, false) => Ending::Late,
+                (false, _) => RequestOutcome::Mismatched,
+                (true, true) => RequestOutcome::Answered,
+                (true, false) => RequestOutcome::Late,
             }
         }
-        Ok(Ok(answer)) => ending_of_refusal(&answer.body),
-        Ok(Err(CallError::Unreachable { .. })) => Ending::ConnectionLost,
-        Ok(Err(_)) if latency >= plan.timeout + CALLER_PATIENCE => Ending::Unanswered,
-        Ok(Err(_)) => Ending::Truncated,
-        Err(_) => Ending::Unanswered,
+        Ok(Ok(answer)) => outcome_of_refusal(&answer.body),
+        Ok(Err(CallError::Unreachable { .. })) => RequestOutcome::ConnectFailed,
+        Ok(Err(_)) if latency >= plan.timeout + CALLER_PATIENCE => RequestOutcome::TimedOut,
+        Ok(Err(_)) => RequestOutcome::Truncated,
+        Err(_) => RequestOutcome::TimedOut,
     };
-    RequestResult { request_id, ending, sent_at, latency }
+    RequestResult { request_id, outcome, sent_at, latency }
 }
 
-fn ending_of_refusal(body: &[u8]) -> Ending {
+fn outcome_of_refusal(body: &[u8]) -> RequestOutcome {
     match serde_json::from_slice::<Problem>(body) {
-        Ok(problem) if problem.outcome == Outcome::NotRun => Ending::NotRun,
-        Ok(_) => Ending::Unknown,
-        Err(_) => Ending::Mismatched,
+        Ok(problem) if problem.outcome == Outcome::NotRun => RequestOutcome::NotRun,
+        Ok(_) => RequestOutcome::Unknown,
+        Err(_) => RequestOutcome::Mismatched,
     }
 }
--- a/crates/teaseltrack-lab/src/platform.rs
+++ b/crates/teaseltrack-lab/src/platform.rs
@@ -27,7 +27,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    LabError, options::args::PlatformOptions, platform::table::Table, server::serve_cuttable,
+    LabError, options::args::PlatformOptions, platform::table::Table, server::serve_or_abort,
 };
 
 /// Largest call, in bytes.
@@ -55,12 +55,13 @@
     /// Time that each call takes on top, in milliseconds.
     pub latency_ms: f64,
     /// Share of writes whose answer is lost after they took effect.
-    pub lost_answer_ratio: f64,
+    #[serde(rename = "lost_answer_ratio")]
+    pub lost_response_ratio: f64,
 }
 
 /// Calls that were served.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Served {
+pub struct CallCounts {
     /// Calls by the first part of their key.
     pub by_prefix: BTreeMap<String, u64>,
     /// Writes.
@@ -76,7 +77,7 @@
     faults: Faults,
     writes: TokenBucket,
     reads: TokenBucket,
-    served: Served,
+    call_counts: CallCounts,
 }
 
 /// A running store, cheap to clone.
@@ -101,7 +102,7 @@
             faults: Faults::default(),
             writes: TokenBucket::new(options.writes_per_s, options.writes_per_s, now),
             reads: TokenBucket::new(options.reads_per_s, options.reads_per_s, now),
-            served: Served::default(),
+            call_counts: CallCounts::default(),
         };
         let platform = Self {
             address: listener.local_addr()?,
@@ -110,7 +111,7 @@
         };
         let served = platform.clone();
         let handler = move |request| served.clone().answer(request);
-        tokio::spawn(serve_cuttable(listener, CancellationToken::new(), handler));
+        tokio::spawn(serve_or_abort(listener, CancellationToken::new(), handler));
         Ok(platform)
     }
 
@@ -125,8 +126,8 @@
     }
 
     /// Calls served so far.
-    pub fn served(&self) -> Served {
-        self.lock().served.clone()
+    pub fn call_counts(&self) -> CallCounts {
+        self.lock().call_counts.clone()
     }
 
     /// Reads a row past all limits and faults, for checks.
@@ -172,7 +173,7 @@
         let Some(reply) = reply else {
             return Some(refused(ErrorKind::StoreUnavailable, "beyond the limit"));
         };
-        let is_lost = is_write && rand::rng().random::<f64>() < faults.lost_answer_ratio;
+        let is_lost = is_write && rand::rng().random::<f64>() < faults.lost_response_ratio;
         if is_lost {
             return None;
         }
@@ -183,13 +184,16 @@
         let mut state = self.lock();
         let bucket = if call.is_write() { &mut state.writes } else { &mut state.reads };
         if bucket.take(1.0, Instant::now()).is_err() {
-            state.served.throttled += 1;
+            state.call_counts.throttled += 1;
             return None;
         }
-        let count =
-            if call.is_write() { &mut state.served.writes } else { &mut state.served.reads };
+        let count = if call.is_write() {
+            &mut state.call_counts.writes
+        } else {
+            &mut state.call_counts.reads
+        };
         *count += 1;
-        *state.served.by_prefix.entry(prefix_of(&call)).or_insert(0) += 1;
+        *state.call_counts.by_prefix.entry(prefix_of(&call)).or_insert(0) += 1;
         Some(state.table.apply(call))
     }
 }
--- a/crates/teaseltrack-lab/src/processes.rs
+++ b/crates/teaseltrack-lab/src/processes.rs
@@ -81,7 +81,7 @@
     }
 
     /// Whether the process has ended.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
@@ -101,7 +101,7 @@
         self.signal(Signal::SIGTERM);
         let deadline = Instant::now() + limit;
         while Instant::now() < deadline {
-            if self.has_ended() {
+            if self.has_exited() {
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/teaseltrack-lab/src/relay.rs
+++ b/crates/teaseltrack-lab/src/relay.rs
@@ -27,13 +27,13 @@
     /// Bytes from the caller's side after which a connection is cut.
     pub cut_after_request_bytes: Option<u64>,
     /// Bytes from the other side after which a connection is cut.
-    pub cut_after_answer_bytes: Option<u64>,
+    pub cut_after_response_bytes: Option<u64>,
     /// Time that each piece is held back.
     pub delay: Duration,
     /// Whether bytes from the caller's side are held back, also on open connections.
-    pub holds_requests: bool,
+    pub stalls_requests: bool,
     /// Whether bytes from the other side are held back, also on open connections.
-    pub holds_answers: bool,
+    pub stalls_responses: bool,
 }
 
 /// Time between two looks at whether bytes are still held back.
@@ -100,13 +100,13 @@
                 let (caller_read, caller_write) = caller.into_split();
                 let (upstream_read, upstream_write) = upstream.into_split();
                 let (delay, request_limit) = (faults.delay, faults.cut_after_request_bytes);
-                let answer_limit = faults.cut_after_answer_bytes;
+                let answer_limit = faults.cut_after_response_bytes;
                 tokio::select! {
                     () = copy(caller_read, upstream_write, request_limit, delay, || {
-                        to_upstream.faults().holds_requests
+                        to_upstream.faults().stalls_requests
                     }) => {}
                     () = copy(upstream_read, caller_write, answer_limit, delay, || {
-                        to_caller.faults().holds_answers
+                        to_caller.faults().stalls_responses
                     }) => {}
                     () = cut.cancelled() => {}
                 }
--- a/crates/teaseltrack-lab/src/server.rs
+++ b/crates/teaseltrack-lab/src/server.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Serves until cancelled, then cuts all connections; a handler's `None` cuts its own.
-pub async fn serve_cuttable<H, F>(listener: TcpListener, closing: CancellationToken, handler: H)
+pub async fn serve_or_abort<H, F>(listener: TcpListener, closing: CancellationToken, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Option<Response<ResponseBody>>> + Send + 'static,
--- a/crates/teaseltrack-lab/src/target.rs
+++ b/crates/teaseltrack-lab/src/target.rs
@@ -37,7 +37,7 @@
 use crate::{
     LabError,
     ledger::{LedgerEvent, LedgerSender, remote_sender},
-    server::serve_cuttable,
+    server::serve_or_abort,
 };
 
 /// Time between announcements.
@@ -137,7 +137,7 @@
         };
         let served = target.clone();
         let handler = move |request| served.clone().answer(request);
-        tokio::spawn(serve_cuttable(listener, target.closing.clone(), handler));
+        tokio::spawn(serve_or_abort(listener, target.closing.clone(), handler));
         tokio::spawn(target.clone().keep_announcing(announcement));
         Ok(target)
     }
@@ -148,7 +148,7 @@
     }
 
     /// Leaves by a planned stop: withdraws, waits until the agent has drained, and closes.
-    pub async fn leave(&self) {
+    pub async fn shut_down(&self) {
         self.leaving.cancel();
         let client = HttpClient::new(ANNOUNCE_TIMEOUT);
         let answer = client
@@ -249,6 +249,6 @@
     let ledger = remote_sender(options.ledger)?;
     let target = Target::start(options, ledger).await?;
     signal(SignalKind::terminate())?.recv().await;
-    target.leave().await;
+    target.shut_down().await;
     Ok(())
 }
--- a/crates/teaseltrack-lab/src/worker.rs
+++ b/crates/teaseltrack-lab/src/worker.rs
@@ -32,7 +32,7 @@
 use crate::{
     LabError,
     ledger::{LedgerEvent, LedgerSender, remote_sender},
-    server::serve_cuttable,
+    server::serve_or_abort,
 };
 
 /// Time between steps of progress.
@@ -111,7 +111,7 @@
         };
         let served = worker.clone();
         let handler = move |request| served.clone().answer(request);
-        tokio::spawn(serve_cuttable(listener, worker.closing.clone(), handler));
+        tokio::spawn(serve_or_abort(listener, worker.closing.clone(), handler));
         tokio::spawn(worker.clone().keep_stepping());
         Ok(worker)
     }
--- a/crates/teaseltrack-lab/tests/history.rs
+++ b/crates/teaseltrack-lab/tests/history.rs
@@ -104,7 +104,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn append_racing_with_lost_answers() {
     let (platform, store, clock) = start().await;
-    platform.set_faults(Faults { lost_answer_ratio: 0.5, ..Faults::default() });
+    platform.set_faults(Faults { lost_response_ratio: 0.5, ..Faults::default() });
     let racers: Vec<_> = (0..4)
         .map(|racer| {
             let (store, clock) = (store.clone(), clock.clone());
--- a/crates/teaseltrack-lab/tests/requests.rs
+++ b/crates/teaseltrack-lab/tests/requests.rs
@@ -10,7 +10,7 @@
 use teaseltrack_lab::{
     experiments::flood::wait_ready,
     fleet::{Fleet, FleetPlan, wait_until},
-    load::{Ending, LoadPlan, LoadResult, Verdict, send_load},
+    load::{LoadPlan, LoadResult, RequestOutcome, Verdict, send_load},
     operator::Operator,
     platform::{Faults, Outage},
     relay::RelayFaults,
@@ -49,7 +49,7 @@
     let broken = [
         verdict.duplicated,
         verdict.false_not_run,
-        verdict.wrong,
+        verdict.mismatched,
         verdict.over_capacity,
         verdict.lost,
     ];
@@ -61,9 +61,9 @@
     before_request = { RelayFaults { is_refusing: true, ..RelayFaults::default() } },
     at_request = { RelayFaults { cut_after_request_bytes: Some(0), ..RelayFaults::default() } },
     within_request = { RelayFaults { cut_after_request_bytes: Some(120), ..RelayFaults::default() } },
-    before_answer = { RelayFaults { cut_after_answer_bytes: Some(0), ..RelayFaults::default() } },
-    within_answer = { RelayFaults { cut_after_answer_bytes: Some(100), ..RelayFaults::default() } },
-    between_answers = { RelayFaults { cut_after_answer_bytes: Some(1_000), ..RelayFaults::default() } },
+    before_answer = { RelayFaults { cut_after_response_bytes: Some(0), ..RelayFaults::default() } },
+    within_answer = { RelayFaults { cut_after_response_bytes: Some(100), ..RelayFaults::default() } },
+    between_answers = { RelayFaults { cut_after_response_bytes: Some(1_000), ..RelayFaults::default() } },
     delayed = { RelayFaults { delay: Duration::from_millis(40), ..RelayFaults::default() } },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
@@ -136,7 +136,7 @@
     let mut fleet = start_processes(plan).await;
     fleet.platform.set_faults(Faults { outage: Outage::Silent, ..Faults::default() });
     let result = send_load(load(&fleet, "outage")).await;
-    assert_eq!(result.count(Ending::Answered), result.requests.len() as u64);
+    assert_eq!(result.count(RequestOutcome::Answered), result.requests.len() as u64);
 
     // An entry that starts during the outage learns records and targets from its peers.
     fleet.entries[1].kill();
@@ -172,7 +172,7 @@
     assert!(fleet.entries[1].stop(limit).await);
     let result = loading.await.unwrap();
     assert_eq!(
-        result.count(Ending::Answered),
+        result.count(RequestOutcome::Answered),
         result.requests.len() as u64,
         "{:?}",
         result.counts()
@@ -194,7 +194,7 @@
     let running = tokio::spawn(async move { forward(agent, "running").await });
     sleep(Duration::from_millis(300)).await;
     let target = fleet.targets[0].clone();
-    let leaving = tokio::spawn(async move { target.leave().await });
+    let leaving = tokio::spawn(async move { target.shut_down().await });
     sleep(Duration::from_millis(300)).await;
     assert!(!forward(agent, "late").await, "a leaving target got new work");
     assert!(running.await.unwrap(), "a running request was cut off");
--- a/crates/teaseltrack-lab/tests/tasks.rs
+++ b/crates/teaseltrack-lab/tests/tasks.rs
@@ -102,7 +102,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn tasks_once_with_lost_answers() {
     let (fleet, operator) = start().await;
-    fleet.platform.set_faults(Faults { lost_answer_ratio: 0.4, ..Faults::default() });
+    fleet.platform.set_faults(Faults { lost_response_ratio: 0.4, ..Faults::default() });
     for number in 0..5 {
         operator.submit_job(&format!("job-{number}"), short_job(4, 200)).await.unwrap();
     }
--- a/crates/teaseltrack-lab/tests/util.rs
+++ b/crates/teaseltrack-lab/tests/util.rs
@@ -5,7 +5,7 @@
 
 use teaseltrack_lab::{
     fleet::{FleetPlan, wait_until},
-    load::{Ending, LoadPlan, LoadResult, Verdict, send_load},
+    load::{LoadPlan, LoadResult, RequestOutcome, Verdict, send_load},
     operator::{LabJob, Operator},
     processes::ProcessFleet,
 };
@@ -59,7 +59,7 @@
         };
         async {
             let result = send_load(plan).await;
-            result.count(Ending::Answered) == result.requests.len() as u64
+            result.count(RequestOutcome::Answered) == result.requests.len() as u64
         }
     })
     .await;
@@ -71,7 +71,7 @@
     let verdict = result.verdict(&fleet.ledger.requests());
     assert_eq!(verdict.duplicated, 0, "{verdict:?}");
     assert_eq!(verdict.false_not_run, 0, "{verdict:?}");
-    assert_eq!(verdict.wrong, 0, "{verdict:?}");
+    assert_eq!(verdict.mismatched, 0, "{verdict:?}");
     assert_eq!(verdict.over_capacity, 0, "{verdict:?}");
     assert_eq!(verdict.lost, 0, "{verdict:?}");
     verdict
--- a/crates/teaseltrack-lab/tests/whole_path.rs
+++ b/crates/teaseltrack-lab/tests/whole_path.rs
@@ -7,7 +7,7 @@
 use teaseltrack_cli::verify::verify_streams;
 use teaseltrack_lab::{
     fleet::FleetPlan,
-    load::{Ending, send_load},
+    load::{RequestOutcome, send_load},
     operator::Operator,
 };
 use util::{assert_invariants, load, short_job, start_processes, wait_done, wait_served};
@@ -17,7 +17,7 @@
     let plan = FleetPlan { agents: 3, ..FleetPlan::default() };
     let mut fleet = start_processes(plan).await;
     let result = send_load(load(&fleet, "before")).await;
-    assert_eq!(result.count(Ending::Answered), result.requests.len() as u64);
+    assert_eq!(result.count(RequestOutcome::Answered), result.requests.len() as u64);
 
     fleet.agents[0].kill();
     wait_served(&fleet, "without-agent").await;
