--- a/crates/teaseltrack-lab/src/lib.rs
+++ b/crates/teaseltrack-lab/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what the platform and the users bring, and the tools that measure.
+//! Simulated dependencies, load generator, experiments and demo.
 //!
-//! [`platform`], [`target`] and [`worker`] stand in for the platform's store, a request service and the
-//! platform's workers; [`relay`] cuts and delays connections. [`fleet`] starts everything in one
-//! process, [`processes`] starts the real binaries. [`load`] sends requests, [`ledger`] collects what
-//! really ran, [`experiments`] and [`demo`] put them together.
+//! [`platform`], [`target`] and [`worker`] simulate the platform's store, a request service and the
+//! platform's workers; [`relay`] injects connection faults. [`fleet`] runs all components in one
+//! process, [`processes`] runs the real binaries. [`load`] generates requests and [`ledger`] records
+//! what targets and workers executed; [`experiments`] and [`demo`] combine them.
 
 pub mod demo;
 pub mod experiments;
@@ -24,7 +24,7 @@
 
 use crate::options::args;
 
-/// Runs the lab as the command line says.
+/// Runs the subcommand given on the command line.
 pub fn run_from_command_line() -> ExitCode {
     let matches = args::command().get_matches();
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
@@ -37,7 +37,7 @@
             Some(("run", sub)) => experiments::run(&args::run(sub)).await,
             Some(("soak", sub)) => experiments::soak(args::soak(sub)).await,
             Some(("demo", _)) => demo::run().await,
-            _ => Err("no such command".into()),
+            _ => Err("unknown subcommand".into()),
         }
     });
     match result {
@@ -49,5 +49,5 @@
     }
 }
 
-/// Error of a tool, for people.
+/// Error shown on the terminal.
 pub type LabError = Box<dyn std::error::Error + Send + Sync>;
--- a/crates/teaseltrack-lab/src/main.rs
+++ b/crates/teaseltrack-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins, load generator, experiments and demo; never shipped.
+//! Simulated dependencies, load generator, experiments and demo; not part of a release.
 
 use std::process::ExitCode;
 
--- a/crates/teaseltrack-lab/src/options.rs
+++ b/crates/teaseltrack-lab/src/options.rs
@@ -1,3 +1,3 @@
-//! What a developer gives on the command line.
+//! Command-line options.
 
 pub mod args;
--- a/crates/teaseltrack-lab/src/options/args.rs
+++ b/crates/teaseltrack-lab/src/options/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line parser.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,16 +10,16 @@
     worker::WorkerOptions,
 };
 
-/// Options of the platform.
+/// Options of the simulated platform.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Address of the store.
+    /// Listen address of the store.
     pub address: SocketAddr,
-    /// Writes a second.
+    /// Maximum writes per second.
     pub writes_per_s: f64,
-    /// Reads a second.
+    /// Maximum reads per second.
     pub reads_per_s: f64,
-    /// Time that each call takes.
+    /// Latency of each call.
     pub latency: Duration,
 }
 
@@ -28,17 +28,17 @@
 pub struct RunOptions {
     /// Name of the experiment.
     pub name: String,
-    /// Seed of all that is random in it.
+    /// Seed of its random number generators.
     pub seed: u64,
-    /// Whether to print one JSON object.
+    /// Whether to print the report as one JSON object.
     pub is_json: bool,
 }
 
-/// The command line, for clap.
+/// Command-line definition for clap.
 pub fn command() -> Command {
     Command::new("teaseltrack-lab")
         .version(clap::crate_version!())
-        .about("Stand-ins, load generator, experiments and demo")
+        .about("Simulated dependencies, load generator, experiments and demo")
         .subcommand_required(true)
         .subcommand(platform_command())
         .subcommand(target_command())
@@ -47,7 +47,7 @@
             Command::new("run")
                 .about("Runs an experiment and prints its metrics")
                 .arg(Arg::new("name").required(true).value_parser(NAMES))
-                .arg(number("seed", "1", "Seed of all that is random"))
+                .arg(number_arg("seed", "1", "Seed of the random number generators"))
                 .arg(
                     Arg::new("format")
                         .long("format")
@@ -57,54 +57,57 @@
         )
         .subcommand(
             Command::new("soak")
-                .about("Injects random faults into real processes and checks what they promise")
-                .arg(number("seed", "1", "Seed of all faults"))
-                .arg(number("seconds", "60", "Time for which faults come")),
+                .about("Injects random faults into real processes and checks their guarantees")
+                .arg(number_arg("seed", "1", "Seed of the injected faults"))
+                .arg(number_arg("seconds", "60", "Duration of fault injection, in seconds")),
         )
-        .subcommand(Command::new("demo").about("Runs the whole path in one process"))
+        .subcommand(Command::new("demo").about("Runs all components in one process under load"))
 }
 
 fn platform_command() -> Command {
     Command::new("platform")
-        .about("Stand-in of the platform's table and object store; POST /faults sets its faults")
-        .arg(address("address", "Address of the store"))
-        .arg(number("writes-per-s", "300", "Writes a second that it takes"))
-        .arg(number("reads-per-s", "2000", "Reads a second that it takes"))
-        .arg(number("latency-ms", "2", "Time that each call takes"))
+        .about("Simulated table and object store of the platform; POST /faults sets its faults")
+        .arg(address_arg("address", "Listen address of the store"))
+        .arg(number_arg("writes-per-s", "300", "Maximum writes per second"))
+        .arg(number_arg("reads-per-s", "2000", "Maximum reads per second"))
+        .arg(number_arg("latency-ms", "2", "Latency of each call, in milliseconds"))
 }
 
 fn target_command() -> Command {
     Command::new("target")
-        .about("Stand-in of a request service; POST /lab/behaviour sets its behaviour")
-        .arg(address("address", "Address on which it takes requests"))
-        .arg(optional_address("advertise", "Address that it announces, if that is a relay's"))
-        .arg(address("announce", "Announcement port of its agent"))
+        .about("Simulated request service; POST /lab/behaviour sets its behaviour")
+        .arg(address_arg("address", "Listen address for requests"))
+        .arg(optional_address_arg(
+            "advertise",
+            "Address to announce, if requests go through a relay",
+        ))
+        .arg(address_arg("announce", "Announcement address of its agent"))
         .arg(Arg::new("service").long("service").default_value("tickets"))
-        .arg(number("slots", "8", "Requests that it takes at once"))
-        .arg(number("service-time-ms", "5", "Time that each request takes"))
-        .arg(optional_address("ledger", "Where it tells what ran"))
+        .arg(number_arg("slots", "8", "Maximum concurrent requests"))
+        .arg(number_arg("service-time-ms", "5", "Service time of each request, in milliseconds"))
+        .arg(optional_address_arg("ledger", "Address of the ledger that receives its events"))
 }
 
 fn worker_command() -> Command {
     Command::new("worker")
-        .about("Stand-in of the platform's worker")
-        .arg(address("address", "Address on which it takes calls"))
+        .about("Simulated worker of the platform")
+        .arg(address_arg("address", "Listen address for calls"))
         .arg(Arg::new("instance").long("instance").default_value("worker"))
-        .arg(number("run-time-ratio", "1", "True run time over the declared one"))
+        .arg(number_arg("run-time-ratio", "1", "Ratio of the actual run time to the declared one"))
         .arg(
             Arg::new("failing")
                 .long("failing")
-                .help("Fails every task that it starts")
+                .help("Fails every task on start")
                 .action(ArgAction::SetTrue),
         )
-        .arg(optional_address("ledger", "Where it tells what ran"))
+        .arg(optional_address_arg("ledger", "Address of the ledger that receives its events"))
 }
 
-fn address(name: &'static str, help: &'static str) -> Arg {
-    optional_address(name, help).required(true)
+fn address_arg(name: &'static str, help: &'static str) -> Arg {
+    optional_address_arg(name, help).required(true)
 }
 
-fn optional_address(name: &'static str, help: &'static str) -> Arg {
+fn optional_address_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("IP:PORT")
@@ -112,7 +115,7 @@
         .value_parser(value_parser!(SocketAddr))
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).help(help).default_value(default).value_parser(value_parser!(f64))
 }
 
@@ -136,7 +139,7 @@
     Duration::from_secs_f64(get_number(matches, name).max(0.0) / 1_000.0)
 }
 
-/// Options of the platform.
+/// Parses the options of the simulated platform.
 pub fn platform(matches: &ArgMatches) -> PlatformOptions {
     PlatformOptions {
         address: get_address(matches, "address"),
@@ -146,7 +149,7 @@
     }
 }
 
-/// Options of a target.
+/// Parses the options of a target.
 pub fn target(matches: &ArgMatches) -> TargetOptions {
     let service_time_ms = get_number(matches, "service-time-ms");
     TargetOptions {
@@ -160,7 +163,7 @@
     }
 }
 
-/// Options of a worker.
+/// Parses the options of a worker.
 pub fn worker(matches: &ArgMatches) -> WorkerOptions {
     WorkerOptions {
         address: get_address(matches, "address"),
@@ -171,7 +174,7 @@
     }
 }
 
-/// Options of a soak.
+/// Parses the options of a soak.
 pub fn soak(matches: &ArgMatches) -> SoakOptions {
     SoakOptions {
         seed: get_number(matches, "seed") as u64,
@@ -179,7 +182,7 @@
     }
 }
 
-/// Options of an experiment.
+/// Parses the options of an experiment.
 pub fn run(matches: &ArgMatches) -> RunOptions {
     RunOptions {
         name: get_text(matches, "name"),
--- a/crates/teaseltrack-lab/src/platform.rs
+++ b/crates/teaseltrack-lab/src/platform.rs
@@ -1,7 +1,7 @@
-//! Stand-in of the platform's transactional table and object store.
+//! Simulation of the platform's transactional table and object store.
 //!
-//! [`table`] holds the rows and objects; this module serves them over HTTP, with limits, latency,
-//! outages and answers that are lost after the write took effect.
+//! [`table`] stores the rows and objects. This module serves them over HTTP and simulates rate
+//! limits, latency, outages, and responses that are lost after a write has taken effect.
 
 pub mod table;
 
@@ -30,45 +30,45 @@
     LabError, options::args::PlatformOptions, platform::table::Table, server::serve_or_abort,
 };
 
-/// Largest call, in bytes.
-const MAX_CALL_BYTES: usize = 64 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// How the store is out.
+/// Kind of a store outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
-    /// It isn't.
+    /// The store is available.
     #[default]
     None,
-    /// Connections are cut.
+    /// Connections are closed without a response.
     Cut,
-    /// Nothing is answered.
+    /// Requests are accepted but get no response.
     Silent,
 }
 
-/// Faults of the store.
+/// Faults injected into the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// How it is out.
+    /// Kind of outage.
     pub outage: Outage,
-    /// Time that each call takes on top, in milliseconds.
+    /// Additional latency of each call, in milliseconds.
     pub latency_ms: f64,
-    /// Share of writes whose answer is lost after they took effect.
+    /// Fraction of writes whose response is lost after the write has taken effect.
     #[serde(rename = "lost_answer_ratio")]
     pub lost_response_ratio: f64,
 }
 
-/// Calls that were served.
+/// Number of calls, by kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Calls by the first part of their key.
+    /// Executed calls by the first segment of their key.
     pub by_prefix: BTreeMap<String, u64>,
-    /// Writes.
+    /// Executed writes.
     pub writes: u64,
-    /// Reads.
+    /// Executed reads.
     pub reads: u64,
-    /// Calls beyond the limits.
+    /// Calls rejected by the rate limits.
     pub throttled: u64,
 }
 
@@ -80,7 +80,7 @@
     call_counts: CallCounts,
 }
 
-/// A running store, cheap to clone.
+/// Handle to a running store, cheap to clone.
 #[derive(Clone)]
 pub struct Platform {
     address: SocketAddr,
@@ -109,8 +109,8 @@
             latency: options.latency,
             state: Arc::new(Mutex::new(state)),
         };
-        let served = platform.clone();
-        let handler = move |request| served.clone().answer(request);
+        let service = platform.clone();
+        let handler = move |request| service.clone().handle(request);
         tokio::spawn(serve_or_abort(listener, CancellationToken::new(), handler));
         Ok(platform)
     }
@@ -120,17 +120,17 @@
         self.address
     }
 
-    /// Sets the faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Calls served so far.
+    /// Number of calls since the start.
     pub fn call_counts(&self) -> CallCounts {
         self.lock().call_counts.clone()
     }
 
-    /// Reads a row past all limits and faults, for checks.
+    /// Reads a row directly, bypassing rate limits and faults, for checks.
     pub fn peek(&self, key: &str) -> Option<String> {
         self.lock().table.read(key).map(|row| row.value)
     }
@@ -139,24 +139,24 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
+    async fn handle(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
         let path = request.uri().path().to_owned();
         if request.method() != Method::POST {
-            return Some(refused(ErrorKind::InvalidInput, "method: must be POST"));
+            return Some(error_response(ErrorKind::InvalidInput, "method: must be POST"));
         }
         match path.as_str() {
-            STORE_PATH => match read_json(request.into_body(), MAX_CALL_BYTES).await {
+            STORE_PATH => match read_json(request.into_body(), MAX_BODY_BYTES).await {
                 Ok(call) => self.serve(call).await,
                 Err(problem) => Some(problem.into_response()),
             },
-            "/faults" => match read_json(request.into_body(), MAX_CALL_BYTES).await {
+            "/faults" => match read_json(request.into_body(), MAX_BODY_BYTES).await {
                 Ok(faults) => {
                     self.set_faults(faults);
                     Some(json_response(200, &json!({ "set": true })))
                 }
                 Err(problem) => Some(problem.into_response()),
             },
-            _ => Some(refused(ErrorKind::NotFound, "path: must be /store or /faults")),
+            _ => Some(error_response(ErrorKind::NotFound, "path: must be /store or /faults")),
         }
     }
 
@@ -171,10 +171,10 @@
         let is_write = call.is_write();
         let reply = self.apply(call);
         let Some(reply) = reply else {
-            return Some(refused(ErrorKind::StoreUnavailable, "beyond the limit"));
+            return Some(error_response(ErrorKind::StoreUnavailable, "beyond the limit"));
         };
-        let is_lost = is_write && rand::rng().random::<f64>() < faults.lost_response_ratio;
-        if is_lost {
+        let is_response_lost = is_write && rand::rng().random::<f64>() < faults.lost_response_ratio;
+        if is_response_lost {
             return None;
         }
         Some(json_response(200, &reply))
@@ -193,13 +193,13 @@
             &mut state.call_counts.reads
         };
         *count += 1;
-        *state.call_counts.by_prefix.entry(prefix_of(&call)).or_insert(0) += 1;
+        *state.call_counts.by_prefix.entry(key_prefix(&call)).or_insert(0) += 1;
         Some(state.table.apply(call))
     }
 }
 
-/// First part of a call's key; of the first write for a transaction.
-fn prefix_of(call: &StoreCall) -> String {
+/// Returns the first segment of a call's key, which for a transaction is that of its first write.
+fn key_prefix(call: &StoreCall) -> String {
     let key = match call {
         StoreCall::Read { key }
         | StoreCall::PutObject { key, .. }
@@ -213,17 +213,17 @@
     key.split(['/', '-']).next().unwrap_or_default().to_owned()
 }
 
-fn refused(kind: ErrorKind, detail: &str) -> Response<ResponseBody> {
+fn error_response(kind: ErrorKind, detail: &str) -> Response<ResponseBody> {
     Problem::new(kind, detail).into_response()
 }
 
-/// Serves a store until the process is ended.
+/// Serves a store until the process is terminated.
 ///
 /// # Errors
 ///
 /// The address can't be bound.
 pub async fn run(options: &PlatformOptions) -> Result<(), LabError> {
     let platform = Platform::start(options).await?;
-    println!("platform serves on {}", platform.address());
+    println!("platform listening on {}", platform.address());
     std::future::pending().await
 }
--- a/crates/teaseltrack-lab/src/platform/table.rs
+++ b/crates/teaseltrack-lab/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! Rows and objects in memory.
+//! In-memory rows and objects of the simulated store.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,21 @@
 };
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct VersionedValue {
     version: u64,
     value: String,
 }
 
-/// Rows with versions, and objects.
+/// Versioned rows, and objects.
 #[derive(Debug, Default)]
 pub struct Table {
     version: u64,
-    rows: BTreeMap<String, Stored>,
+    rows: BTreeMap<String, VersionedValue>,
     objects: BTreeMap<String, String>,
 }
 
 impl Table {
-    /// Carries out a call.
+    /// Executes a call.
     pub fn apply(&mut self, call: StoreCall) -> StoreReply {
         match call {
             StoreCall::Read { key } => StoreReply::Rows(self.read(&key).into_iter().collect()),
@@ -57,7 +57,7 @@
             .collect()
     }
 
-    /// Changes of rows that still exist; deletions aren't kept.
+    /// Latest changes of existing rows, by version; deletions aren't recorded.
     fn changes(&self, table: &str, after: u64) -> ChangePage {
         let prefix = format!("{table}/");
         let mut changes: Vec<RowChange> = self
@@ -82,7 +82,7 @@
         for write in transaction.writes {
             match write.value {
                 Some(value) => {
-                    self.rows.insert(write.key, Stored { version, value });
+                    self.rows.insert(write.key, VersionedValue { version, value });
                 }
                 None => {
                     self.rows.remove(&write.key);
@@ -93,6 +93,6 @@
     }
 }
 
-fn row(key: &str, stored: &Stored) -> Row {
+fn row(key: &str, stored: &VersionedValue) -> Row {
     Row { key: key.to_owned(), version: stored.version, value: stored.value.clone() }
 }
--- a/crates/teaseltrack-lab/src/worker.rs
+++ b/crates/teaseltrack-lab/src/worker.rs
@@ -1,7 +1,7 @@
-//! Stand-in of the platform's worker.
+//! Simulation of the platform's worker.
 //!
-//! It runs pretend tasks that make progress with time, under a lease in its own clock. Past the lease's
-//! end it pauses them by itself; a new incarnation drops them.
+//! Simulated tasks progress with elapsed time while a lease, measured on the worker's clock, is valid.
+//! The worker pauses them when the lease expires and drops them when the incarnation changes.
 
 use std::{
     collections::BTreeMap,
@@ -35,25 +35,25 @@
     server::serve_or_abort,
 };
 
-/// Time between steps of progress.
-const STEP: Duration = Duration::from_millis(10);
-/// Most progress of one step; time for which the worker was frozen doesn't count.
+/// Interval between progress updates.
+const STEP_PERIOD: Duration = Duration::from_millis(10);
+/// Maximum progress of one step, so that time during which the process was frozen isn't counted.
 const MAX_STEP_MS: f64 = 50.0;
-/// Largest call, in bytes.
-const MAX_CALL_BYTES: usize = 4 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Options of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerOptions {
-    /// Address on which it takes calls.
+    /// Listen address for calls.
     pub address: SocketAddr,
-    /// Name of the instance, for the ledger.
+    /// Instance name in ledger events.
     pub instance: String,
-    /// True run time over the declared one.
+    /// Ratio of the actual run time to the declared one.
     pub run_time_ratio: f64,
-    /// Whether it fails every task that it starts.
+    /// Whether every task fails on start.
     pub is_failing: bool,
-    /// Where it tells what ran.
+    /// Address of the ledger that receives its events, if any.
     pub ledger: Option<SocketAddr>,
 }
 
@@ -76,7 +76,7 @@
     attempts: BTreeMap<AttemptKey, Attempt>,
 }
 
-/// A running worker, cheap to clone.
+/// Handle to a running worker, cheap to clone.
 #[derive(Clone)]
 pub struct Worker {
     address: SocketAddr,
@@ -109,20 +109,20 @@
             state: Arc::new(Mutex::new(state)),
             closing: CancellationToken::new(),
         };
-        let served = worker.clone();
-        let handler = move |request| served.clone().answer(request);
+        let service = worker.clone();
+        let handler = move |request| service.clone().handle(request);
         tokio::spawn(serve_or_abort(listener, worker.closing.clone(), handler));
-        tokio::spawn(worker.clone().keep_stepping());
+        tokio::spawn(worker.clone().step_periodically());
         Ok(worker)
     }
 
-    /// Address on which it takes calls.
+    /// Listen address for calls.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    async fn keep_stepping(self) {
-        let mut ticks = interval(STEP);
+    async fn step_periodically(self) {
+        let mut ticks = interval(STEP_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -136,35 +136,35 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
+    async fn handle(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
         if request.method() != Method::POST {
-            return Some(refused(ErrorKind::InvalidInput, "method: must be POST"));
+            return Some(error_response(ErrorKind::InvalidInput, "method: must be POST"));
         }
         let path = request.uri().path().to_owned();
         let body = request.into_body();
-        let answer = match path.as_str() {
+        let result = match path.as_str() {
             "/sync" => {
-                read_json(body, MAX_CALL_BYTES).await.and_then(|call| self.lock().sync(call))
+                read_json(body, MAX_BODY_BYTES).await.and_then(|call| self.lock().sync(call))
             }
             "/start" => {
-                read_json(body, MAX_CALL_BYTES).await.and_then(|call| self.lock().start(call))
+                read_json(body, MAX_BODY_BYTES).await.and_then(|call| self.lock().start(call))
             }
             "/stop" => {
-                read_json(body, MAX_CALL_BYTES).await.and_then(|call| self.lock().stop(call))
+                read_json(body, MAX_BODY_BYTES).await.and_then(|call| self.lock().stop(call))
             }
             _ => Err(Problem::new(ErrorKind::NotFound, format!("path: {path} doesn't exist"))),
         };
-        Some(answer.unwrap_or_else(Problem::into_response))
+        Some(result.unwrap_or_else(Problem::into_response))
     }
 }
 
-type Answer = Result<Response<ResponseBody>, Problem>;
+type HandlerResult = Result<Response<ResponseBody>, Problem>;
 
-fn refused(kind: ErrorKind, detail: &str) -> Response<ResponseBody> {
+fn error_response(kind: ErrorKind, detail: &str) -> Response<ResponseBody> {
     Problem::new(kind, detail).into_response()
 }
 
-fn ok<T: Serialize>(value: &T) -> Answer {
+fn json_ok<T: Serialize>(value: &T) -> HandlerResult {
     Ok(json_response(200, value))
 }
 
@@ -186,41 +186,42 @@
         Ok(())
     }
 
-    fn sync(&mut self, call: SyncRequest) -> Answer {
-        self.check_holder(call.holder)?;
+    fn sync(&mut self, request: SyncRequest) -> HandlerResult {
+        self.check_holder(request.holder)?;
         self.step();
-        if let Some(incarnation) = call.incarnation {
+        if let Some(incarnation) = request.incarnation {
             if self.incarnation.is_some_and(|current| current != incarnation) {
-                self.drop_all();
+                self.drop_attempts();
             }
             self.incarnation = Some(incarnation);
-            self.lease_until_ms = call.lease_until_ms.unwrap_or(0);
+            self.lease_until_ms = request.lease_until_ms.unwrap_or(0);
         }
-        self.share = call.share.clamp(0.0, 1.0);
-        for key in &call.forget {
-            let is_over = self.attempts.get(key).is_some_and(|attempt| {
+        self.share = request.share.clamp(0.0, 1.0);
+        for key in &request.forget {
+            let is_ended = self.attempts.get(key).is_some_and(|attempt| {
                 !matches!(attempt.state, WorkerAttemptState::Running | WorkerAttemptState::Paused)
             });
-            if is_over {
+            if is_ended {
                 self.attempts.remove(key);
             }
         }
         self.step();
-        let attempts = self.attempts.iter().map(|(key, attempt)| report(key, attempt)).collect();
-        ok(&SyncResponse { now_ms: self.now_ms(), incarnation: self.incarnation, attempts })
+        let attempts =
+            self.attempts.iter().map(|(key, attempt)| worker_attempt(key, attempt)).collect();
+        json_ok(&SyncResponse { now_ms: self.now_ms(), incarnation: self.incarnation, attempts })
     }
 
-    fn start(&mut self, call: StartRequest) -> Answer {
-        self.check_holder(call.holder)?;
-        let is_late = call.not_after_ms.is_some_and(|limit| self.now_ms() > limit);
-        if is_late || self.incarnation != Some(call.incarnation) {
+    fn start(&mut self, request: StartRequest) -> HandlerResult {
+        self.check_holder(request.holder)?;
+        let is_expired = request.not_after_ms.is_some_and(|limit| self.now_ms() > limit);
+        if is_expired || self.incarnation != Some(request.incarnation) {
             return Err(Problem::new(ErrorKind::RevisionConflict, "the start came too late"));
         }
-        if self.attempts.contains_key(&call.key) {
-            return ok(&json!(null));
+        if self.attempts.contains_key(&request.key) {
+            return json_ok(&json!(null));
         }
         let progress_ms =
-            call.checkpoint.and_then(|checkpoint| checkpoint.parse().ok()).unwrap_or(0.0);
+            request.checkpoint.and_then(|checkpoint| checkpoint.parse().ok()).unwrap_or(0.0);
         let state = if self.options.is_failing {
             WorkerAttemptState::Failed("the worker is broken".to_owned())
         } else {
@@ -229,18 +230,18 @@
         let attempt = Attempt {
             state,
             progress_ms,
-            run_ms: call.run_ms as f64 * self.options.run_time_ratio,
-            resources: call.resources,
+            run_ms: request.run_ms as f64 * self.options.run_time_ratio,
+            resources: request.resources,
         };
-        self.attempts.insert(call.key, attempt);
+        self.attempts.insert(request.key, attempt);
         self.step();
-        ok(&json!(null))
+        json_ok(&json!(null))
     }
 
-    fn stop(&mut self, call: StopRequest) -> Answer {
-        self.check_holder(call.holder)?;
+    fn stop(&mut self, request: StopRequest) -> HandlerResult {
+        self.check_holder(request.holder)?;
         self.step();
-        let attempt = self.attempts.entry(call.key.clone()).or_insert(Attempt {
+        let attempt = self.attempts.entry(request.key.clone()).or_insert(Attempt {
             state: WorkerAttemptState::Stopped,
             progress_ms: 0.0,
             run_ms: 0.0,
@@ -254,21 +255,21 @@
         let is_known = attempt.run_ms > 0.0;
         let progress_ms = attempt.progress_ms;
         if was_running {
-            self.tell_halted(&call.key, progress_ms, false);
+            self.record_halted(&request.key, progress_ms, false);
         }
-        let checkpoint = (call.is_checkpointed && is_known).then(|| progress_ms.to_string());
-        ok(&StopResponse { state, checkpoint })
+        let checkpoint = (request.is_checkpointed && is_known).then(|| progress_ms.to_string());
+        json_ok(&StopResponse { state, checkpoint })
     }
 
-    fn drop_all(&mut self) {
+    fn drop_attempts(&mut self) {
         for (key, attempt) in std::mem::take(&mut self.attempts) {
             if attempt.state == WorkerAttemptState::Running {
-                self.tell_halted(&key, attempt.progress_ms, false);
+                self.record_halted(&key, attempt.progress_ms, false);
             }
         }
     }
 
-    /// Moves all attempts on, or pauses them when the lease is over.
+    /// Advances all attempts, or pauses them if the lease has expired.
     fn step(&mut self) {
         let now = Instant::now();
         let elapsed_ms = now.duration_since(self.stepped_at).as_secs_f64() * 1_000.0;
@@ -277,36 +278,36 @@
         let progress_ms = elapsed_ms.min(MAX_STEP_MS) * self.share;
         let keys: Vec<AttemptKey> = self.attempts.keys().cloned().collect();
         for key in keys {
-            self.step_one(&key, is_leased, progress_ms);
+            self.step_attempt(&key, is_leased, progress_ms);
         }
     }
 
-    fn step_one(&mut self, key: &AttemptKey, is_leased: bool, progress_ms: f64) {
+    fn step_attempt(&mut self, key: &AttemptKey, is_leased: bool, progress_ms: f64) {
         let Some(attempt) = self.attempts.get_mut(key) else { return };
         match (&attempt.state, is_leased) {
             (WorkerAttemptState::Running, false) => {
                 attempt.state = WorkerAttemptState::Paused;
                 let progress_ms = attempt.progress_ms;
-                self.tell_halted(key, progress_ms, false);
+                self.record_halted(key, progress_ms, false);
             }
             (WorkerAttemptState::Paused, true) => {
                 attempt.state = WorkerAttemptState::Running;
                 let progress_ms = attempt.progress_ms;
-                self.tell_running(key, progress_ms);
+                self.record_running(key, progress_ms);
             }
             (WorkerAttemptState::Running, true) => {
                 attempt.progress_ms += progress_ms;
                 if attempt.progress_ms >= attempt.run_ms {
                     attempt.state = WorkerAttemptState::Done;
                     let progress_ms = attempt.progress_ms;
-                    self.tell_halted(key, progress_ms, true);
+                    self.record_halted(key, progress_ms, true);
                 }
             }
             _ => {}
         }
     }
 
-    fn tell_running(&self, key: &AttemptKey, progress_ms: f64) {
+    fn record_running(&self, key: &AttemptKey, progress_ms: f64) {
         (self.ledger)(LedgerEvent::AttemptRunning {
             instance: self.options.instance.clone(),
             task: key.task.to_string(),
@@ -315,7 +316,7 @@
         });
     }
 
-    fn tell_halted(&self, key: &AttemptKey, progress_ms: f64, is_done: bool) {
+    fn record_halted(&self, key: &AttemptKey, progress_ms: f64, is_done: bool) {
         (self.ledger)(LedgerEvent::AttemptHalted {
             instance: self.options.instance.clone(),
             task: key.task.to_string(),
@@ -326,7 +327,7 @@
     }
 }
 
-fn report(key: &AttemptKey, attempt: &Attempt) -> WorkerAttempt {
+fn worker_attempt(key: &AttemptKey, attempt: &Attempt) -> WorkerAttempt {
     WorkerAttempt {
         key: key.clone(),
         state: attempt.state.clone(),
@@ -336,7 +337,7 @@
     }
 }
 
-/// Runs a worker until the process is ended.
+/// Runs a worker until the process is terminated.
 ///
 /// # Errors
 ///
@@ -344,6 +345,6 @@
 pub async fn run(options: WorkerOptions) -> Result<(), LabError> {
     let ledger = remote_sender(options.ledger)?;
     let worker = Worker::start(options, ledger).await?;
-    println!("worker serves on {}", worker.address());
+    println!("worker listening on {}", worker.address());
     std::future::pending().await
 }
