--- a/crates/teaseltrack-lab/src/demo.rs
+++ b/crates/teaseltrack-lab/src/demo.rs
@@ -1,4 +1,5 @@
-//! The whole path in one process: requests of two classes while tasks run, one planned stop.
+//! Demo of a complete fleet in one process: requests of two classes while tasks run, and the
+//! graceful shutdown of an agent and of a target.
 
 use std::time::{Duration, Instant};
 
@@ -15,24 +16,24 @@
     operator::{LabJob, Operator},
 };
 
-/// Time for which requests are sent.
-const LOAD_TIME: Duration = Duration::from_secs(9);
-/// Time for all tasks to finish.
+/// Duration of the load.
+const LOAD_DURATION: Duration = Duration::from_secs(9);
+/// Timeout for all tasks to complete.
 const TASK_TIMEOUT: Duration = Duration::from_secs(15);
-/// Requests a second of each class.
+/// Requests per second of each class.
 const RATE_PER_S: f64 = 150.0;
-/// Tasks of the batch job.
-const TASKS: u32 = 28;
-/// The agent that stops while it has work.
+/// Number of tasks of the batch job.
+const BATCH_TASKS: u32 = 28;
+/// Index of the agent that is shut down while it runs tasks.
 const STOPPED_AGENT: usize = 3;
-/// The target that leaves.
-const LEAVING_TARGET: usize = 2;
+/// Index of the target that is shut down.
+const STOPPED_TARGET: usize = 2;
 
-/// Runs the demo; an error if any invariant broke.
+/// Runs the demo and checks its invariants.
 ///
 /// # Errors
 ///
-/// The fleet can't be started, or an invariant broke.
+/// The fleet can't be started, a step failed, or an invariant was violated.
 pub async fn run() -> Result<(), LabError> {
     let started_at = Instant::now();
     let step = |text: &str| println!("{:6.1} s  {text}", started_at.elapsed().as_secs_f64());
@@ -49,29 +50,29 @@
         addresses: addresses.clone(),
         name: "urgent".to_owned(),
         rate_per_s: RATE_PER_S,
-        duration: LOAD_TIME,
+        duration: LOAD_DURATION,
         urgency: 1,
         ..LoadPlan::default()
     };
     let background =
         LoadPlan { name: "background".to_owned(), urgency: 7, seed: 2, ..urgent.clone() };
-    let events = async {
-        sleep(LOAD_TIME / 4).await;
-        step("a watch hears of the same notice twice");
+    let scenario = async {
+        sleep(LOAD_DURATION / 4).await;
+        step("submitting the same notice to a watch twice");
         operator.notify("recalls", "shell-7").await?;
         if operator.notify("recalls", "shell-7").await.is_ok() {
-            return Err::<(), LabError>("a notice was acted on twice".into());
+            return Err::<(), LabError>("a duplicate notice was accepted".into());
         }
         wait_for_attempts(&fleet).await?;
-        step("an agent with running tasks stops as planned");
+        step("gracefully shutting down an agent with running tasks");
         fleet.stop_agent(STOPPED_AGENT).await;
-        step("a target leaves as planned");
-        fleet.targets[LEAVING_TARGET].shut_down().await;
+        step("gracefully shutting down a target");
+        fleet.targets[STOPPED_TARGET].shut_down().await;
         Ok(())
     };
-    let (urgent, background, events) = join!(send_load(urgent), send_load(background), events);
-    events?;
-    step("requests are over, waiting for the tasks");
+    let (urgent, background, scenario) = join!(send_load(urgent), send_load(background), scenario);
+    scenario?;
+    step("load finished, waiting for the tasks");
     let is_done = wait_until(TASK_TIMEOUT, || async {
         is_job_done(&operator, "settlement").await && is_job_done(&operator, "recall-shell-7").await
     })
@@ -79,25 +80,25 @@
     let entries: u64 =
         verify_streams(&operator.client).await?.iter().map(|stream| stream.entries).sum();
     step("done");
-    let is_whole = print_table(&fleet, &urgent, &background, entries);
+    let is_consistent = print_table(&fleet, &urgent, &background, entries);
     if !is_done {
-        return Err("tasks didn't finish".into());
+        return Err("tasks not completed within the timeout".into());
     }
     if fleet.ledger.tasks(&[]).resumed.is_empty() {
         return Err("no task was evicted and resumed".into());
     }
-    if !is_whole {
-        return Err("an invariant broke".into());
+    if !is_consistent {
+        return Err("an invariant was violated".into());
     }
     Ok(())
 }
 
 async fn submit_records(operator: &Operator) -> Result<(), LabError> {
     operator.submit_service("tickets", 2_000).await?;
-    let job = LabJob { tasks: TASKS, cpu_milli: 1_000, run_ms: 3_000, urgency: 6 };
+    let job = LabJob { tasks: BATCH_TASKS, cpu_milli: 1_000, run_ms: 3_000, urgency: 6 };
     operator.submit_job("settlement", job).await?;
-    let action = LabJob { tasks: 2, cpu_milli: 500, run_ms: 300, urgency: 1 };
-    let watch = json!({ "job_prefix": "recall-", "job": action.body() });
+    let recall_job = LabJob { tasks: 2, cpu_milli: 500, run_ms: 300, urgency: 1 };
+    let watch = json!({ "job_prefix": "recall-", "job": recall_job.body() });
     operator.submit(RecordKind::Watch, "recalls", 1, watch).await?;
     Ok(())
 }
@@ -114,13 +115,15 @@
         })
         .await;
         if !is_ready {
-            return Err(format!("entry {entry} doesn't know all targets").into());
+            return Err(
+                format!("entry {entry} hasn't discovered all targets or has no records").into()
+            );
         }
     }
     Ok(())
 }
 
-/// Waits until the agent that is to stop runs tasks.
+/// Waits until the agent to be shut down runs tasks.
 async fn wait_for_attempts(fleet: &Fleet) -> Result<(), LabError> {
     let client = HttpClient::new(Duration::from_secs(1));
     let address = fleet.plan.agent_health_address(STOPPED_AGENT);
@@ -129,7 +132,7 @@
         status.is_ok_and(|status| status["attempts_running"].as_u64() > Some(0))
     })
     .await;
-    if is_running { Ok(()) } else { Err("the agent got no tasks".into()) }
+    if is_running { Ok(()) } else { Err("the agent to be shut down got no tasks".into()) }
 }
 
 async fn is_job_done(operator: &Operator, name: &str) -> bool {
@@ -137,11 +140,11 @@
     job.is_ok_and(|job| job.counts.done as usize == job.tasks.len())
 }
 
-/// Prints the final table; true if no invariant broke.
+/// Prints the final table; returns true if no invariant was violated.
 fn print_table(fleet: &Fleet, urgent: &LoadResult, background: &LoadResult, entries: u64) -> bool {
-    let ran = fleet.ledger.requests();
+    let executed = fleet.ledger.requests();
     let tasks = fleet.ledger.tasks(&[]);
-    let verdicts = [urgent.verdict(&ran), background.verdict(&ran)];
+    let verdicts = [urgent.verdict(&executed), background.verdict(&executed)];
     let sum = |field: fn(&Verdict) -> u64| verdicts.iter().map(field).sum::<u64>();
     let evicted = tasks.resumed.len();
     let rows = [
@@ -151,8 +154,8 @@
         ("requests lost", sum(|verdict| verdict.lost + verdict.truncated)),
         ("requests answered wrongly", sum(|verdict| verdict.mismatched)),
         ("requests refused falsely", sum(|verdict| verdict.false_not_run)),
-        ("requests duplicated", ran.duplicated),
-        ("requests beyond capacity", ran.over_capacity),
+        ("requests duplicated", executed.duplicated),
+        ("requests beyond capacity", executed.over_capacity),
         ("tasks run", tasks.done.len() as u64),
         ("tasks evicted and resumed", evicted as u64),
         ("tasks duplicated", tasks.duplicated()),
@@ -170,11 +173,11 @@
             result.latency_ms(0.99)
         );
     }
-    let broken = sum(|verdict| {
+    let violations = sum(|verdict| {
         verdict.lost + verdict.truncated + verdict.mismatched + verdict.false_not_run
-    }) + ran.duplicated
-        + ran.over_capacity
+    }) + executed.duplicated
+        + executed.over_capacity
         + tasks.duplicated()
         + tasks.in_two_places;
-    broken == 0 && sum(|verdict| verdict.answered) > 0
+    violations == 0 && sum(|verdict| verdict.answered) > 0
 }
--- a/crates/teaseltrack-lab/src/fleet.rs
+++ b/crates/teaseltrack-lab/src/fleet.rs
@@ -1,6 +1,7 @@
-//! Settings of a whole fleet, and a fleet in one process.
+//! Settings of a fleet, and a fleet within one process.
 //!
-//! Every instance gets a loopback IP of its own, so that no ports are shared and none has to be found.
+//! Each instance has its own loopback IP address, so that all instances can use the same fixed
+//! ports and no free ports have to be searched.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -31,15 +32,15 @@
     worker::{Worker, WorkerOptions},
 };
 
-/// Port of callers' and entries' requests.
+/// Port for requests: of callers at an entry, of entries at an agent.
 const REQUEST_PORT: u16 = 7_101;
-/// Port of operators.
+/// Port for operators.
 const OPERATOR_PORT: u16 = 7_102;
-/// Port of control calls.
+/// Port for control calls.
 const CONTROL_PORT: u16 = 7_103;
-/// Port of liveness, readiness and status.
+/// Port for liveness, readiness and status.
 const HEALTH_PORT: u16 = 7_104;
-/// Port of announcements.
+/// Port for announcements.
 const ANNOUNCE_PORT: u16 = 7_105;
 /// Port of the target.
 const TARGET_PORT: u16 = 7_106;
@@ -51,37 +52,37 @@
 const LEDGER_PORT: u16 = 7_109;
 /// Port of the relay to the target.
 const RELAY_PORT: u16 = 7_110;
-/// Instances of one network.
-const NETWORK_INSTANCES: usize = 250;
+/// Instances per value of the third octet.
+const INSTANCES_PER_SUBNET: usize = 250;
 
-/// Loopback networks of one fleet, drawn at random.
+/// Loopback address range of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
-    second: u8,
-    third: u8,
+    second_octet: u8,
+    third_octet: u8,
 }
 
 impl Network {
-    /// A network that no other fleet on the machine is likely to have.
+    /// Chooses a random range, so that fleets on the same machine are unlikely to overlap.
     pub fn random() -> Self {
         let mut rng = rand::rng();
-        Self { second: rng.random_range(1..250), third: rng.random_range(0..240) }
+        Self { second_octet: rng.random_range(1..250), third_octet: rng.random_range(0..240) }
     }
 
-    /// Address of a port of the instance with this number.
+    /// Address of a port of an instance, by index.
     pub fn address(&self, instance: usize, port: u16) -> SocketAddr {
-        let third = self.third + (instance / NETWORK_INSTANCES) as u8;
-        let fourth = (instance % NETWORK_INSTANCES) as u8 + 1;
-        SocketAddr::from(([127, self.second, third, fourth], port))
+        let third_octet = self.third_octet + (instance / INSTANCES_PER_SUBNET) as u8;
+        let fourth_octet = (instance % INSTANCES_PER_SUBNET) as u8 + 1;
+        SocketAddr::from(([127, self.second_octet, third_octet, fourth_octet], port))
     }
 }
 
-/// What a fleet consists of.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// Network of the fleet.
+    /// Address range of the fleet.
     pub network: Network,
-    /// Availability zones; instances take turns.
+    /// Availability zones, assigned to instances round-robin.
     pub zones: Vec<String>,
     /// Number of entries.
     pub entries: usize,
@@ -89,31 +90,31 @@
     pub agents: usize,
     /// Whether each agent has a worker.
     pub has_workers: bool,
-    /// Whether a relay stands between each agent and its target.
+    /// Whether requests from each agent to its target go through a relay.
     pub has_relays: bool,
-    /// Whether the settings name the first entry as a seed.
+    /// Whether the first entry is configured as a seed.
     pub has_seeds: bool,
-    /// Service that all targets answer for.
+    /// Service that all targets provide.
     pub service: String,
     /// Slots of each target.
     pub slots: u32,
-    /// Requests of one class that may wait at an agent.
+    /// Maximum queued requests of a class at an agent.
     pub queue_per_class: usize,
-    /// How targets behave.
+    /// Behaviour of the targets.
     pub behaviour: TargetBehaviour,
-    /// Length of instance leases, in milliseconds.
+    /// Duration of instance leases, in milliseconds.
     pub lease_ttl_ms: u64,
-    /// Time between probes, in milliseconds.
+    /// Interval between probes, in milliseconds.
     pub probe_period_ms: u64,
-    /// Time for a balancer to notice a planned stop, in milliseconds.
+    /// Time for a load balancer to notice a graceful shutdown, in milliseconds.
     pub drain_grace_ms: u64,
-    /// Processors for tasks on each instance, in thousandths of a core.
+    /// CPU capacity for tasks on each instance, in thousandths of a core.
     pub cpu_milli: u64,
-    /// Writes a second that the platform takes.
+    /// Maximum writes per second of the platform.
     pub platform_writes_per_s: f64,
-    /// Writes a second that each process may send.
+    /// Maximum writes per second of each process.
     pub process_writes_per_s: f64,
-    /// Least severe level of the logs.
+    /// Minimum severity of log lines.
     pub log_level: LogLevel,
 }
 
@@ -147,7 +148,7 @@
         self.zones[index % self.zones.len()].clone()
     }
 
-    fn agent_number(&self, index: usize) -> usize {
+    fn agent_instance_index(&self, index: usize) -> usize {
         1 + self.entries + index
     }
 
@@ -161,12 +162,12 @@
         self.network.address(0, LEDGER_PORT)
     }
 
-    /// Callers' port of an entry.
+    /// Caller port of an entry.
     pub fn caller_address(&self, entry: usize) -> SocketAddr {
         self.network.address(1 + entry, REQUEST_PORT)
     }
 
-    /// Operators' port of an entry.
+    /// Operator port of an entry.
     pub fn operator_address(&self, entry: usize) -> SocketAddr {
         self.network.address(1 + entry, OPERATOR_PORT)
     }
@@ -176,34 +177,34 @@
         self.network.address(1 + entry, HEALTH_PORT)
     }
 
-    /// Port of an agent's requests from entries.
+    /// Port of an agent for requests from entries.
     pub fn request_address(&self, agent: usize) -> SocketAddr {
-        self.network.address(self.agent_number(agent), REQUEST_PORT)
+        self.network.address(self.agent_instance_index(agent), REQUEST_PORT)
     }
 
     /// Health port of an agent.
     pub fn agent_health_address(&self, agent: usize) -> SocketAddr {
-        self.network.address(self.agent_number(agent), HEALTH_PORT)
+        self.network.address(self.agent_instance_index(agent), HEALTH_PORT)
     }
 
     /// Announcement port of an agent.
     pub fn announce_address(&self, agent: usize) -> SocketAddr {
-        self.network.address(self.agent_number(agent), ANNOUNCE_PORT)
+        self.network.address(self.agent_instance_index(agent), ANNOUNCE_PORT)
     }
 
     /// Port of an agent's target.
     pub fn target_address(&self, agent: usize) -> SocketAddr {
-        self.network.address(self.agent_number(agent), TARGET_PORT)
+        self.network.address(self.agent_instance_index(agent), TARGET_PORT)
     }
 
     /// Port of the relay to an agent's target.
     pub fn relay_address(&self, agent: usize) -> SocketAddr {
-        self.network.address(self.agent_number(agent), RELAY_PORT)
+        self.network.address(self.agent_instance_index(agent), RELAY_PORT)
     }
 
     /// Port of an agent's worker.
     pub fn worker_address(&self, agent: usize) -> SocketAddr {
-        self.network.address(self.agent_number(agent), WORKER_PORT)
+        self.network.address(self.agent_instance_index(agent), WORKER_PORT)
     }
 
     /// Name of an agent's instance.
@@ -211,7 +212,7 @@
         format!("agent-{index}")
     }
 
-    /// Options of the platform.
+    /// Options of the simulated platform.
     pub fn platform_options(&self) -> PlatformOptions {
         PlatformOptions {
             address: self.platform_address(),
@@ -223,14 +224,14 @@
 
     /// Settings of an entry.
     pub fn entry_settings(&self, index: usize) -> EntrySettings {
-        let number = 1 + index;
+        let instance_index = 1 + index;
         EntrySettings {
             instance: InstanceSettings {
                 name: format!("entry-{index}"),
                 zone: self.zone(index),
                 rack: String::new(),
             },
-            control: self.control_settings(number),
+            control: self.control_settings(instance_index),
             callers: CallerSettings {
                 address: self.caller_address(index),
                 max_connections: 4_096,
@@ -246,7 +247,7 @@
 
     /// Settings of an agent.
     pub fn agent_settings(&self, index: usize) -> AgentSettings {
-        let number = self.agent_number(index);
+        let instance_index = self.agent_instance_index(index);
         let tasks = TaskSettings {
             worker_address: self.worker_address(index),
             lease_ttl_ms: self.lease_ttl_ms,
@@ -260,7 +261,7 @@
                 zone: self.zone(index),
                 rack: String::new(),
             },
-            control: self.control_settings(number),
+            control: self.control_settings(instance_index),
             requests: RequestSettings {
                 address: self.request_address(index),
                 queue_per_class: self.queue_per_class,
@@ -303,14 +304,14 @@
         }
     }
 
-    fn control_settings(&self, number: usize) -> ControlSettings {
+    fn control_settings(&self, instance_index: usize) -> ControlSettings {
         let first_entry = self.network.address(1, CONTROL_PORT);
         let seeds = if self.has_seeds { vec![first_entry] } else { Vec::new() };
         ControlSettings {
-            address: self.network.address(number, CONTROL_PORT),
+            address: self.network.address(instance_index, CONTROL_PORT),
             seeds,
             probe_period_ms: self.probe_period_ms,
-            poll_period_ms: if number <= self.entries { 2_000 } else { 30_000 },
+            poll_period_ms: if instance_index <= self.entries { 2_000 } else { 30_000 },
         }
     }
 
@@ -329,37 +330,37 @@
     }
 }
 
-/// A daemon that runs in this process.
+/// Daemon that runs in the current process.
 pub struct RunningDaemon {
     shutdown: Shutdown,
     task: JoinHandle<()>,
 }
 
 impl RunningDaemon {
-    /// Stops the daemon as planned and waits for its end.
+    /// Shuts the daemon down gracefully and waits for its end.
     pub async fn stop(self) {
         self.shutdown.draining.cancel();
         drop(self.task.await);
     }
 }
 
-/// A fleet in one process.
+/// Fleet within one process.
 pub struct Fleet {
-    /// What it consists of.
+    /// Configuration of the fleet.
     pub plan: FleetPlan,
-    /// The store.
+    /// Simulated store.
     pub platform: Platform,
-    /// What ran.
+    /// Ledger of executed requests and attempts.
     pub ledger: Ledger,
-    /// Entries by number.
+    /// Entries by index; `None` after shutdown.
     pub entries: Vec<Option<RunningDaemon>>,
-    /// Agents by number.
+    /// Agents by index; `None` after shutdown.
     pub agents: Vec<Option<RunningDaemon>>,
-    /// Targets by number.
+    /// Targets by index.
     pub targets: Vec<Target>,
-    /// Workers by number.
+    /// Workers by index.
     pub workers: Vec<Worker>,
-    /// Relays to targets by number.
+    /// Relays to targets by index, if the plan has them.
     pub relays: Vec<Relay>,
 }
 
@@ -414,14 +415,14 @@
         Ok(())
     }
 
-    /// Stops an agent as planned.
+    /// Shuts down an agent gracefully.
     pub async fn stop_agent(&mut self, index: usize) {
         if let Some(agent) = self.agents[index].take() {
             agent.stop().await;
         }
     }
 
-    /// Stops everything as planned.
+    /// Shuts down all agents and then all entries gracefully.
     pub async fn stop(mut self) {
         for index in 0..self.agents.len() {
             self.stop_agent(index).await;
@@ -432,12 +433,12 @@
     }
 }
 
-/// Waits until a condition holds; false when it didn't in time.
-pub async fn wait_until<F>(limit: Duration, mut condition: impl FnMut() -> F) -> bool
+/// Polls a condition until it holds; returns false on timeout.
+pub async fn wait_until<F>(timeout: Duration, mut condition: impl FnMut() -> F) -> bool
 where
     F: Future<Output = bool>,
 {
-    let deadline = tokio::time::Instant::now() + limit;
+    let deadline = tokio::time::Instant::now() + timeout;
     while tokio::time::Instant::now() < deadline {
         if condition().await {
             return true;
--- a/crates/teaseltrack-lab/src/ledger.rs
+++ b/crates/teaseltrack-lab/src/ledger.rs
@@ -1,7 +1,8 @@
-//! What really ran, told by targets and workers before they run it.
+//! Ledger of requests and attempts that targets and workers actually executed.
 //!
-//! Stand-ins in other processes write events as JSON lines to a TCP port; what they wrote arrives even
-//! if they are killed right after.
+//! Targets and workers record each start before they execute it. Simulators in other processes
+//! write events as JSON lines to a TCP port; events written before a process was killed still
+//! arrive.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,51 +20,51 @@
 
 use crate::LabError;
 
-/// Something that a stand-in did.
+/// Event reported by a simulated target or worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LedgerEvent {
-    /// A target began to run a request.
+    /// A target started a request.
     RequestStarted {
         /// Address of the target.
         target: SocketAddr,
-        /// The request.
+        /// Identifier of the request.
         request_id: String,
-        /// Whether running it twice does harm.
+        /// Whether the request may be executed more than once.
         is_idempotent: bool,
-        /// Requests that the target ran at once, this one included.
+        /// Requests in progress at the target, including this one.
         running: u32,
         /// Slots of the target.
         slots: u32,
     },
-    /// A worker began or went on to run an attempt.
+    /// A worker started or resumed an attempt.
     AttemptRunning {
-        /// The instance.
+        /// Instance of the worker.
         instance: String,
-        /// The task.
+        /// Identifier of the task.
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// Progress at which it began, in milliseconds.
+        /// Progress at the start or resumption, in milliseconds.
         progress_ms: u64,
     },
-    /// A worker stopped or paused an attempt.
+    /// A worker completed, stopped or paused an attempt.
     AttemptHalted {
-        /// The instance.
+        /// Instance of the worker.
         instance: String,
-        /// The task.
+        /// Identifier of the task.
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
         /// Progress so far, in milliseconds.
         progress_ms: u64,
-        /// Whether the task is finished.
+        /// Whether the task completed.
         is_done: bool,
     },
 }
 
 impl LedgerEvent {
-    /// The task that the event is about, if it is about one.
+    /// Task of the event; `None` for requests.
     pub fn task(&self) -> Option<&str> {
         match self {
             Self::AttemptRunning { task, .. } | Self::AttemptHalted { task, .. } => Some(task),
@@ -72,23 +73,23 @@
     }
 }
 
-/// Where stand-ins tell what they do.
+/// Callback that records an event.
 pub type LedgerSender = Arc<dyn Fn(LedgerEvent) + Send + Sync>;
 
-/// Events in the order of their arrival.
+/// Events in order of arrival.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     events: Arc<Mutex<Vec<(Instant, LedgerEvent)>>>,
 }
 
 impl Ledger {
-    /// A sender within this process.
+    /// Creates a sender for use within this process.
     pub fn sender(&self) -> LedgerSender {
         let ledger = self.clone();
-        Arc::new(move |event| ledger.push(event))
+        Arc::new(move |event| ledger.record(event))
     }
 
-    /// Takes events of other processes in; the address to tell them.
+    /// Accepts events from other processes; returns the listen address.
     ///
     /// # Errors
     ///
@@ -104,7 +105,7 @@
                     let mut lines = BufReader::new(stream).lines();
                     while let Ok(Some(line)) = lines.next_line().await {
                         if let Ok(event) = serde_json::from_str(&line) {
-                            ledger.push(event);
+                            ledger.record(event);
                         }
                     }
                 });
@@ -113,12 +114,12 @@
         Ok(address)
     }
 
-    /// All events so far.
+    /// All events recorded so far.
     pub fn events(&self) -> Vec<(Instant, LedgerEvent)> {
         self.events.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// What the requests among the events come to.
+    /// Summarizes the request events.
     pub fn requests(&self) -> RequestLedger {
         let mut requests = RequestLedger::default();
         for (_, event) in self.events() {
@@ -137,7 +138,7 @@
         requests
     }
 
-    /// What the attempts among the events come to; `killed` are instances and when they were killed.
+    /// Summarizes the attempt events; `killed` lists instances whose workers were killed, and when.
     pub fn tasks(&self, killed: &[(String, Instant)]) -> TaskLedger {
         let mut tasks = TaskLedger::default();
         let mut running: BTreeMap<String, BTreeMap<(String, u32), u64>> = BTreeMap::new();
@@ -150,50 +151,50 @@
                     places.retain(|(place, _), _| *place != instance);
                 }
             }
-            tasks.take_in(event, &mut running);
+            tasks.apply(event, &mut running);
         }
         tasks
     }
 
-    fn push(&self, event: LedgerEvent) {
+    fn record(&self, event: LedgerEvent) {
         self.events.lock().unwrap_or_else(PoisonError::into_inner).push((Instant::now(), event));
     }
 }
 
-/// Requests that ran.
+/// Summary of executed requests.
 #[derive(Clone, Debug, Default)]
 pub struct RequestLedger {
-    /// Runs by request.
+    /// Number of executions by request.
     pub runs: BTreeMap<String, u32>,
-    /// Requests that aren't idempotent and ran more than once.
+    /// Non-idempotent requests executed more than once.
     pub duplicated: u64,
-    /// Starts beyond a target's slots.
+    /// Requests started while all slots of the target were in use.
     pub over_capacity: u64,
 }
 
-/// Attempts that ran.
+/// Summary of executed attempts.
 #[derive(Clone, Debug, Default)]
 pub struct TaskLedger {
-    /// Tasks that finished, and how often.
+    /// Number of completions by task.
     pub done: BTreeMap<String, u32>,
-    /// Attempts that were begun.
+    /// Attempts that started.
     pub attempts: BTreeSet<(String, u32)>,
-    /// Attempts that began beyond the start.
+    /// Attempts that started from a checkpoint.
     pub resumed: BTreeSet<(String, u32)>,
-    /// Times that a task ran in two places at once.
+    /// Number of times that a task started to run while it was already running elsewhere.
     pub in_two_places: u64,
-    /// Attempts that ran in more than one place.
+    /// Number of times that an attempt ran on an instance other than its first.
     pub attempts_repeated: u64,
     places: BTreeMap<(String, u32), String>,
 }
 
 impl TaskLedger {
-    /// Times that a finished task finished again.
+    /// Number of completions beyond the first of each task.
     pub fn duplicated(&self) -> u64 {
         self.done.values().map(|count| u64::from(count.saturating_sub(1))).sum()
     }
 
-    fn take_in(
+    fn apply(
         &mut self,
         event: LedgerEvent,
         running: &mut BTreeMap<String, BTreeMap<(String, u32), u64>>,
@@ -224,7 +225,7 @@
     }
 }
 
-/// A sender to another process's ledger, or to nowhere.
+/// Connects to the ledger of another process; without an address, events are discarded.
 ///
 /// # Errors
 ///
--- a/crates/teaseltrack-lab/src/lib.rs
+++ b/crates/teaseltrack-lab/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! [`platform`], [`target`] and [`worker`] simulate the platform's store, a request service and the
 //! platform's workers; [`relay`] injects connection faults. [`fleet`] runs all components in one
-//! process, [`processes`] runs the real binaries. [`load`] generates requests and [`ledger`] records
-//! what targets and workers executed; [`experiments`] and [`demo`] combine them.
+//! process, [`processes`] runs the real binaries. [`load`] generates requests and [`ledger`]
+//! records what targets and workers executed; [`experiments`] and [`demo`] combine them.
 
 pub mod demo;
 pub mod experiments;
--- a/crates/teaseltrack-lab/src/load.rs
+++ b/crates/teaseltrack-lab/src/load.rs
@@ -1,4 +1,4 @@
-//! An open-loop load generator: requests come when they come, however slow the answers.
+//! Open-loop load generator: requests are sent at random times, independent of response times.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -26,35 +26,35 @@
 
 use crate::ledger::RequestLedger;
 
-/// Time for which a caller waits beyond its own time-out.
-const CALLER_PATIENCE: Duration = Duration::from_secs(2);
-/// Largest latency that is told apart, in microseconds.
+/// Time for which a caller waits for a response beyond its own timeout.
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// Upper bound of the latency histogram, in microseconds.
 const MAX_LATENCY_US: u64 = 120_000_000;
-/// Significant figures of latencies.
-const LATENCY_FIGURES: u8 = 3;
+/// Significant decimal digits of the latency histogram.
+const LATENCY_DIGITS: u8 = 3;
 
-/// Load to be generated.
+/// Configuration of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Callers' ports, or targets for a baseline; requests take turns.
+    /// Caller ports of entries, or targets for a baseline; used round-robin.
     pub addresses: Vec<SocketAddr>,
     /// Path prefix, `/{service}` for entries and empty for targets.
     pub prefix: String,
-    /// Prefix of request identifiers; differs between loads.
+    /// Prefix of request identifiers, unique to the load.
     pub name: String,
-    /// Requests a second.
+    /// Mean requests per second of a Poisson process.
     pub rate_per_s: f64,
-    /// Time for which requests are sent.
+    /// Duration of the load.
     pub duration: Duration,
-    /// Time-out that callers ask for.
+    /// Timeout that callers specify.
     pub timeout: Duration,
     /// RFC 9218 urgency.
     pub urgency: u32,
-    /// Share of requests that aren't idempotent.
+    /// Fraction of non-idempotent requests.
     pub post_ratio: f64,
-    /// Team that pays.
+    /// Team that the requests are accounted to.
     pub team: String,
-    /// Seed of arrivals and methods.
+    /// Seed of arrival times and methods.
     pub seed: u64,
 }
 
@@ -75,77 +75,77 @@
     }
 }
 
-/// How one request ended for its caller.
+/// Outcome of a request as observed by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestOutcome {
-    /// The whole answer to its own request came in time.
+    /// The complete, matching response was received within the timeout.
     Answered,
-    /// The whole answer came after the time-out.
+    /// The complete, matching response was received after the timeout.
     Late,
-    /// Refused as proved not to have run.
+    /// Refused, with the guarantee that the request wasn't executed.
     NotRun,
-    /// Refused with an unknown outcome.
+    /// Refused without that guarantee.
     Unknown,
-    /// The connection failed before any answer, so that nothing was promised.
+    /// Connecting failed, so the request wasn't sent.
     ConnectFailed,
-    /// No answer within the time-out and the caller's patience.
+    /// No response within the timeout and the margin.
     TimedOut,
-    /// The answer stopped short.
+    /// The connection failed before the response was complete.
     Truncated,
-    /// A whole answer to another request came.
+    /// A complete response didn't match the request.
     Mismatched,
 }
 
-/// One request as its caller saw it.
+/// Result of a request as observed by its caller.
 #[derive(Clone, Debug)]
 pub struct RequestResult {
-    /// The request.
+    /// Identifier of the request.
     pub request_id: String,
-    /// How it ended.
+    /// Outcome.
     pub outcome: RequestOutcome,
-    /// When it was sent.
+    /// Time of sending.
     pub sent_at: Instant,
-    /// Time to its end.
+    /// Time from sending to the outcome.
     pub latency: Duration,
 }
 
-/// All requests of a load.
+/// Results of all requests of a load.
 #[derive(Clone, Debug)]
 pub struct LoadResult {
-    /// Requests by the order of their end.
+    /// Results in order of completion.
     pub requests: Vec<RequestResult>,
 }
 
-/// How a load ended, checked against what ran.
+/// Outcomes of a load, checked against the ledger.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Whole answers in time.
+    /// Complete responses within the timeout.
     pub answered: u64,
-    /// Refused as not run.
+    /// Requests refused as not executed.
     pub not_run: u64,
-    /// Refused as unknown.
+    /// Requests refused with an unknown outcome.
     pub unknown: u64,
-    /// Callers left without answer or refusal.
+    /// Requests without a response or refusal within the timeout and the margin.
     pub lost: u64,
-    /// Answers that stopped short or belong to another request, and came as if whole.
+    /// Responses that appeared complete but didn't match the request.
     pub mismatched: u64,
-    /// Answers cut off, as the caller could see.
+    /// Requests whose connection failed before the response was complete.
     pub truncated: u64,
-    /// Refused as not run, although they ran.
+    /// Requests refused as not executed although the ledger shows an execution.
     pub false_not_run: u64,
-    /// Requests that aren't idempotent and ran more than once.
+    /// Non-idempotent requests executed more than once.
     pub duplicated: u64,
-    /// Starts beyond a target's slots.
+    /// Requests started while all slots of a target were in use.
     pub over_capacity: u64,
 }
 
 impl LoadResult {
-    /// Requests with the outcome.
+    /// Counts the requests with an outcome.
     pub fn count(&self, outcome: RequestOutcome) -> u64 {
         self.requests.iter().filter(|request| request.outcome == outcome).count() as u64
     }
 
-    /// Requests by outcome.
+    /// Counts the requests by outcome.
     pub fn counts(&self) -> BTreeMap<RequestOutcome, u64> {
         let mut counts = BTreeMap::new();
         for request in &self.requests {
@@ -154,9 +154,9 @@
         counts
     }
 
-    /// Latency at a quantile of the requests that were answered in time, in milliseconds.
+    /// Latency quantile of the requests answered within the timeout, in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
-        let histogram = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, LATENCY_FIGURES);
+        let histogram = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS);
         let Ok(mut histogram) = histogram else { return f64::NAN };
         for request in
             self.requests.iter().filter(|request| request.outcome == RequestOutcome::Answered)
@@ -166,17 +166,17 @@
         histogram.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// Checks the callers' view against what ran.
-    pub fn verdict(&self, ran: &RequestLedger) -> Verdict {
+    /// Checks the outcomes that callers observed against the ledger.
+    pub fn verdict(&self, executed: &RequestLedger) -> Verdict {
         let false_not_run = self
             .requests
             .iter()
             .filter(|request| request.outcome == RequestOutcome::NotRun)
-            .filter(|request| ran.runs.contains_key(&request.request_id))
+            .filter(|request| executed.runs.contains_key(&request.request_id))
             .count() as u64;
-        let own: BTreeSet<&str> =
+        let request_ids: BTreeSet<&str> =
             self.requests.iter().map(|request| request.request_id.as_str()).collect();
-        debug_assert_eq!(own.len(), self.requests.len());
+        debug_assert_eq!(request_ids.len(), self.requests.len());
         Verdict {
             answered: self.count(RequestOutcome::Answered),
             not_run: self.count(RequestOutcome::NotRun),
@@ -185,29 +185,29 @@
             mismatched: self.count(RequestOutcome::Mismatched),
             truncated: self.count(RequestOutcome::Truncated),
             false_not_run,
-            duplicated: ran.duplicated,
-            over_capacity: ran.over_capacity,
+            duplicated: executed.duplicated,
+            over_capacity: executed.over_capacity,
         }
     }
 }
 
-/// Sends a load and waits for all answers.
+/// Sends a load and waits for the outcome of every request.
 pub async fn send_load(plan: LoadPlan) -> LoadResult {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
-    let client = HttpClient::new(plan.timeout + CALLER_PATIENCE);
+    let client = HttpClient::new(plan.timeout + TIMEOUT_MARGIN);
     let plan = Arc::new(plan);
     let mut pending = JoinSet::new();
     let started_at = tokio::time::Instant::now();
-    let mut at = Duration::ZERO;
+    let mut send_offset = Duration::ZERO;
     let mut requests = Vec::new();
     for number in 0_u64.. {
         let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
-        at += Duration::from_secs_f64(-uniform.ln() / plan.rate_per_s);
-        if at >= plan.duration {
+        send_offset += Duration::from_secs_f64(-uniform.ln() / plan.rate_per_s);
+        if send_offset >= plan.duration {
             break;
         }
         let is_post = rng.random::<f64>() < plan.post_ratio;
-        sleep_until(started_at + at).await;
+        sleep_until(started_at + send_offset).await;
         pending.spawn(send_one(plan.clone(), client.clone(), number, is_post));
         while let Some(Ok(result)) = pending.try_join_next() {
             requests.push(result);
@@ -244,28 +244,28 @@
         .header(headers::TEAM, &plan.team)
         .body(Full::from(body))
         .unwrap_or_default();
-    let answer = timeout(plan.timeout + CALLER_PATIENCE, client.send(address, request)).await;
+    let response = timeout(plan.timeout + TIMEOUT_MARGIN, client.send(address, request)).await;
     let latency = sent_at.elapsed();
-    let outcome = match answer {
-        Ok(Ok(answer)) if answer.status.is_success() => {
-            // The target pads its answer to the length of the request's body.
-            let is_own = answer.body == expected;
-            match (is_own, latency <= plan.timeout) {
+    let outcome = match response {
+        Ok(Ok(response)) if response.status.is_success() => {
+            // The target appends as many padding bytes as the request body has.
+            let is_matching = response.body == expected;
+            match (is_matching, latency <= plan.timeout) {
                 (false, _) => RequestOutcome::Mismatched,
                 (true, true) => RequestOutcome::Answered,
                 (true, false) => RequestOutcome::Late,
             }
         }
-        Ok(Ok(answer)) => outcome_of_refusal(&answer.body),
+        Ok(Ok(response)) => refusal_outcome(&response.body),
         Ok(Err(CallError::Unreachable { .. })) => RequestOutcome::ConnectFailed,
-        Ok(Err(_)) if latency >= plan.timeout + CALLER_PATIENCE => RequestOutcome::TimedOut,
+        Ok(Err(_)) if latency >= plan.timeout + TIMEOUT_MARGIN => RequestOutcome::TimedOut,
         Ok(Err(_)) => RequestOutcome::Truncated,
         Err(_) => RequestOutcome::TimedOut,
     };
     RequestResult { request_id, outcome, sent_at, latency }
 }
 
-fn outcome_of_refusal(body: &[u8]) -> RequestOutcome {
+fn refusal_outcome(body: &[u8]) -> RequestOutcome {
     match serde_json::from_slice::<Problem>(body) {
         Ok(problem) if problem.outcome == Outcome::NotRun => RequestOutcome::NotRun,
         Ok(_) => RequestOutcome::Unknown,
--- a/crates/teaseltrack-lab/src/operator.rs
+++ b/crates/teaseltrack-lab/src/operator.rs
@@ -1,4 +1,4 @@
-//! Records and commands that experiments give.
+//! Operator that submits records and commands for experiments.
 
 use std::net::SocketAddr;
 
@@ -8,19 +8,19 @@
 use teaseltrack_cli::client::{CliError, OperatorClient};
 use teaseltrack_wire::operators::{JobView, SubmittedRecord};
 
-/// An operator of the lab.
+/// Simulated operator.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// Calls to an entry.
+    /// Client of an entry's operator port.
     pub client: OperatorClient,
 }
 
-/// A job as the lab submits it.
+/// Parameters of a job that the lab submits.
 #[derive(Clone, Copy, Debug)]
 pub struct LabJob {
     /// Number of tasks.
     pub tasks: u32,
-    /// Processor use of a task, in thousandths of a core.
+    /// CPU demand of a task, in thousandths of a core.
     pub cpu_milli: u64,
     /// Run time of a task, in milliseconds.
     pub run_ms: u64,
@@ -29,7 +29,7 @@
 }
 
 impl LabJob {
-    /// The body of the job's record.
+    /// Body of the job's record.
     pub fn body(&self) -> Value {
         json!({
             "tasks": self.tasks,
@@ -43,7 +43,7 @@
 }
 
 impl Operator {
-    /// An operator who talks to the given operators' port.
+    /// Creates an operator that uses the operator port at the given address.
     pub fn new(entry: SocketAddr, author: &str) -> Self {
         Self { client: OperatorClient::new(entry, author.to_owned()) }
     }
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// A refusal or no answer.
+    /// The command was refused, or no response was received.
     pub async fn submit(
         &self,
         kind: RecordKind,
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// A refusal or no answer.
+    /// The command was refused, or no response was received.
     pub async fn submit_service(&self, name: &str, timeout_ms: u64) -> Result<Record, CliError> {
         self.submit(RecordKind::Service, name, 2, json!({ "timeout_ms": timeout_ms })).await
     }
@@ -78,26 +78,26 @@
     ///
     /// # Errors
     ///
-    /// A refusal or no answer.
+    /// The command was refused, or no response was received.
     pub async fn submit_job(&self, name: &str, job: LabJob) -> Result<Record, CliError> {
         self.submit(RecordKind::Job, name, 2, job.body()).await
     }
 
-    /// Tells a watch of a notice.
+    /// Submits a notice to a watch.
     ///
     /// # Errors
     ///
-    /// A refusal or no answer.
+    /// The command was refused, or no response was received.
     pub async fn notify(&self, watch: &str, notice: &str) -> Result<Record, CliError> {
         let path = format!("/notices/{watch}/{notice}");
         self.client.command(Method::POST, &path, None, None::<&()>).await
     }
 
-    /// Shows a job with its tasks.
+    /// Queries a job with its tasks.
     ///
     /// # Errors
     ///
-    /// A refusal or no answer.
+    /// The query was refused, or no response was received.
     pub async fn job(&self, name: &str) -> Result<JobView, CliError> {
         self.client.query(&format!("/jobs/{name}")).await
     }
--- a/crates/teaseltrack-lab/src/processes.rs
+++ b/crates/teaseltrack-lab/src/processes.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes, which can be killed, frozen and stopped one by one.
+//! Fleet of real processes that can be killed, frozen and stopped individually.
 
 use std::{
     fs, io,
@@ -23,14 +23,14 @@
     relay::Relay,
 };
 
-/// Clock ticks a second of the kernel's accounting.
+/// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_S: f64 = 100.0;
-/// Bytes of a page.
+/// Size of a memory page, in bytes.
 const PAGE_BYTES: u64 = 4_096;
-/// Time for a process to become ready.
+/// Timeout for a process to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What a process of a fleet does.
+/// Role of a process in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// An entry.
@@ -43,10 +43,10 @@
     Worker,
 }
 
-/// A process of a fleet, by its role and number.
+/// Role and index of a process.
 pub type ProcessKey = (Role, usize);
 
-/// A child process; killed when dropped.
+/// Child process; killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -54,7 +54,7 @@
 }
 
 impl Process {
-    /// Starts a program from the directory of this one.
+    /// Starts a program from the directory of the current executable.
     ///
     /// # Errors
     ///
@@ -75,12 +75,12 @@
         &self.name
     }
 
-    /// Identifier of the process.
+    /// Process identifier.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
@@ -90,16 +90,16 @@
         kill(Pid::from_raw(self.child.id() as i32), signal).ok();
     }
 
-    /// Kills the process at once.
+    /// Kills the process with SIGKILL and reaps it.
     pub fn kill(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
     }
 
-    /// Asks the process to stop and waits until it has; false if it didn't in time.
-    pub async fn stop(&mut self, limit: Duration) -> bool {
+    /// Sends SIGTERM and waits for the exit; returns false on timeout.
+    pub async fn stop(&mut self, timeout: Duration) -> bool {
         self.signal(Signal::SIGTERM);
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
             if self.has_exited() {
                 return true;
@@ -109,11 +109,11 @@
         false
     }
 
-    /// Processor time used so far.
+    /// CPU time used so far.
     ///
     /// # Errors
     ///
-    /// The process is gone.
+    /// The process has exited and was reaped.
     pub fn cpu_time(&self) -> io::Result<Duration> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let after_name = stat.rsplit_once(") ").map_or("", |(_, rest)| rest);
@@ -123,11 +123,11 @@
         Ok(Duration::from_secs_f64(ticks / TICKS_PER_S))
     }
 
-    /// Memory held, in bytes.
+    /// Resident memory, in bytes.
     ///
     /// # Errors
     ///
-    /// The process is gone.
+    /// The process has exited and was reaped.
     pub fn memory_bytes(&self) -> io::Result<u64> {
         let statm = fs::read_to_string(format!("/proc/{}/statm", self.child.id()))?;
         let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
@@ -141,14 +141,14 @@
     }
 }
 
-/// Path of a program that was built beside this one.
+/// Path of a program in the directory of the current executable.
 ///
 /// # Errors
 ///
-/// It isn't there.
+/// The program doesn't exist there.
 pub fn binary_path(program: &str) -> io::Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let mut directory = own.parent().unwrap_or(Path::new(".")).to_owned();
+    let executable = std::env::current_exe()?;
+    let mut directory = executable.parent().unwrap_or(Path::new(".")).to_owned();
     if directory.ends_with("deps") {
         directory.pop();
     }
@@ -156,43 +156,43 @@
     if path.exists() {
         return Ok(path);
     }
-    Err(io::Error::new(io::ErrorKind::NotFound, format!("{program} isn't built")))
+    Err(io::Error::new(io::ErrorKind::NotFound, format!("{program} hasn't been built")))
 }
 
-/// A fleet of real processes; the platform and the ledger are in this one.
+/// Fleet of real processes; the platform and the ledger run in the current process.
 pub struct ProcessFleet {
-    /// What it consists of.
+    /// Configuration of the fleet.
     pub plan: FleetPlan,
-    /// The store.
+    /// Simulated store.
     pub platform: Platform,
-    /// What ran.
+    /// Ledger of executed requests and attempts.
     pub ledger: Ledger,
-    /// Entries by number.
+    /// Entries by index.
     pub entries: Vec<Process>,
-    /// Agents by number.
+    /// Agents by index.
     pub agents: Vec<Process>,
-    /// Targets by number.
+    /// Targets by index.
     pub targets: Vec<Process>,
-    /// Workers by number.
+    /// Workers by index.
     pub workers: Vec<Process>,
-    /// Relays to targets by number, if the plan has them.
+    /// Relays to targets by index, if the plan has them.
     pub relays: Vec<Relay>,
     settings: TempDir,
 }
 
 impl ProcessFleet {
-    /// Starts a fleet and waits until all of it is ready.
+    /// Starts a fleet and waits until it is ready.
     ///
     /// # Errors
     ///
-    /// A program isn't built, or doesn't become ready.
+    /// A program hasn't been built, or doesn't become ready in time.
     pub async fn start(plan: FleetPlan) -> Result<Self, LabError> {
-        let mut fleet = Self::start_unready(plan).await?;
+        let mut fleet = Self::start_all(plan).await?;
         fleet.wait_ready().await?;
         Ok(fleet)
     }
 
-    async fn start_unready(plan: FleetPlan) -> Result<Self, LabError> {
+    async fn start_all(plan: FleetPlan) -> Result<Self, LabError> {
         let mut fleet = Self::start_control_only(plan).await?;
         for index in 0..fleet.plan.agents {
             if fleet.plan.has_workers {
@@ -205,11 +205,11 @@
         Ok(fleet)
     }
 
-    /// Starts entries and agents without targets and workers, and doesn't wait for anything.
+    /// Starts entries and agents without targets and workers, and returns without waiting for them.
     ///
     /// # Errors
     ///
-    /// A program isn't built.
+    /// A program hasn't been built.
     pub async fn start_control_only(plan: FleetPlan) -> Result<Self, LabError> {
         let platform = Platform::start(&plan.platform_options()).await?;
         let ledger = Ledger::default();
@@ -242,11 +242,11 @@
         Ok(fleet)
     }
 
-    /// Waits until every entry knows every target.
+    /// Waits until every entry has discovered every target.
     ///
     /// # Errors
     ///
-    /// They don't in time.
+    /// An entry isn't ready within the timeout.
     pub async fn wait_ready(&mut self) -> Result<(), LabError> {
         let targets = self.targets.len() as u64;
         for index in 0..self.entries.len() {
@@ -256,13 +256,13 @@
             .await;
             if !is_ready {
                 let status = self.entry_status(index).await;
-                return Err(format!("entry {index} isn't ready: {status:?}").into());
+                return Err(format!("entry {index} not ready: {status:?}").into());
             }
         }
         Ok(())
     }
 
-    /// A process of the fleet.
+    /// Returns a process of the fleet.
     pub fn process(&mut self, (role, index): ProcessKey) -> &mut Process {
         match role {
             Role::Entry => &mut self.entries[index],
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Starts a process anew in place of one that has ended.
+    /// Replaces a process that has exited by a new one.
     ///
     /// # Errors
     ///
@@ -289,17 +289,17 @@
         Ok(())
     }
 
-    /// Status of an entry.
+    /// Queries the status of an entry.
     pub async fn entry_status(&self, index: usize) -> Option<Value> {
-        status(self.plan.entry_health_address(index)).await
+        query_status(self.plan.entry_health_address(index)).await
     }
 
-    /// Status of an agent.
+    /// Queries the status of an agent.
     pub async fn agent_status(&self, index: usize) -> Option<Value> {
-        status(self.plan.agent_health_address(index)).await
+        query_status(self.plan.agent_health_address(index)).await
     }
 
-    /// Starts an entry's process.
+    /// Starts the process of an entry.
     ///
     /// # Errors
     ///
@@ -309,7 +309,7 @@
         self.spawn_daemon("teaseltrack-entry", &format!("entry-{index}"), &text)
     }
 
-    /// Starts an agent's process.
+    /// Starts the process of an agent.
     ///
     /// # Errors
     ///
@@ -319,7 +319,7 @@
         self.spawn_daemon("teaseltrack-agent", &format!("agent-{index}"), &text)
     }
 
-    /// Starts a target's process.
+    /// Starts the process of a target.
     ///
     /// # Errors
     ///
@@ -340,7 +340,7 @@
         Ok(Process::start("teaseltrack-lab", &format!("target-{index}"), &args)?)
     }
 
-    /// Starts a worker's process.
+    /// Starts the process of a worker.
     ///
     /// # Errors
     ///
@@ -364,6 +364,6 @@
     }
 }
 
-async fn status(address: std::net::SocketAddr) -> Option<Value> {
+async fn query_status(address: std::net::SocketAddr) -> Option<Value> {
     HttpClient::new(Duration::from_secs(1)).get(address, "/status").await.ok()
 }
--- a/crates/teaseltrack-lab/src/relay.rs
+++ b/crates/teaseltrack-lab/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can cut, delay and silence connections.
+//! TCP relay that injects connection faults: refusal, truncation, delay and stalls.
 
 use std::{
     net::SocketAddr,
@@ -16,30 +16,30 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Bytes relayed at once.
+/// Size of the copy buffer, in bytes.
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// What a relay does to the connections through it.
+/// Faults injected into the connections of a relay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayFaults {
-    /// New connections are cut.
+    /// Whether new connections are closed immediately.
     pub is_refusing: bool,
-    /// Bytes from the caller's side after which a connection is cut.
+    /// Closes a connection after this number of bytes from the client.
     pub cut_after_request_bytes: Option<u64>,
-    /// Bytes from the other side after which a connection is cut.
+    /// Closes a connection after this number of bytes from the upstream server.
     pub cut_after_response_bytes: Option<u64>,
-    /// Time that each piece is held back.
+    /// Delay of each chunk.
     pub delay: Duration,
-    /// Whether bytes from the caller's side are held back, also on open connections.
+    /// Whether data from the client is withheld, also on open connections.
     pub stalls_requests: bool,
-    /// Whether bytes from the other side are held back, also on open connections.
+    /// Whether data from the upstream server is withheld, also on open connections.
     pub stalls_responses: bool,
 }
 
-/// Time between two looks at whether bytes are still held back.
-const HOLD_PERIOD: Duration = Duration::from_millis(20);
+/// Interval for checking whether a stall has ended.
+const STALL_POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// A running relay, cheap to clone.
+/// Handle to a running relay, cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -64,17 +64,17 @@
         Ok(relay)
     }
 
-    /// Address of the relay.
+    /// Listen address of the relay.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what happens to connections.
+    /// Replaces the injected faults; refusal, delay and byte limits apply only to new connections.
     pub fn set_faults(&self, faults: RelayFaults) {
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    /// Cuts all open connections.
+    /// Closes all open connections.
     pub fn cut_all(&self) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         connections.cancel();
@@ -86,27 +86,27 @@
     }
 
     async fn accept(self, listener: TcpListener, upstream: SocketAddr) {
-        while let Ok((caller, _)) = listener.accept().await {
+        while let Ok((client, _)) = listener.accept().await {
             let faults = self.faults();
             if faults.is_refusing {
                 continue;
             }
-            let (to_upstream, to_caller) = (self.clone(), self.clone());
+            let (to_upstream, to_client) = (self.clone(), self.clone());
             let cut = self.connections.lock().unwrap_or_else(PoisonError::into_inner).clone();
             tokio::spawn(async move {
                 let Ok(upstream) = TcpStream::connect(upstream).await else { return };
-                drop(caller.set_nodelay(true));
+                drop(client.set_nodelay(true));
                 drop(upstream.set_nodelay(true));
-                let (caller_read, caller_write) = caller.into_split();
+                let (client_read, client_write) = client.into_split();
                 let (upstream_read, upstream_write) = upstream.into_split();
                 let (delay, request_limit) = (faults.delay, faults.cut_after_request_bytes);
-                let answer_limit = faults.cut_after_response_bytes;
+                let response_limit = faults.cut_after_response_bytes;
                 tokio::select! {
-                    () = copy(caller_read, upstream_write, request_limit, delay, || {
+                    () = copy(client_read, upstream_write, request_limit, delay, || {
                         to_upstream.faults().stalls_requests
                     }) => {}
-                    () = copy(upstream_read, caller_write, answer_limit, delay, || {
-                        to_caller.faults().stalls_responses
+                    () = copy(upstream_read, client_write, response_limit, delay, || {
+                        to_client.faults().stalls_responses
                     }) => {}
                     () = cut.cancelled() => {}
                 }
@@ -115,13 +115,13 @@
     }
 }
 
-/// Copies until the end, or until the limit is reached.
+/// Copies until end of stream, an I/O error, or the byte limit.
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     limit_bytes: Option<u64>,
     delay: Duration,
-    is_held: impl Fn() -> bool,
+    is_stalled: impl Fn() -> bool,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
     let mut copied = 0;
@@ -133,14 +133,14 @@
         if !delay.is_zero() {
             sleep(delay).await;
         }
-        while is_held() {
-            sleep(HOLD_PERIOD).await;
+        while is_stalled() {
+            sleep(STALL_POLL_PERIOD).await;
         }
-        let left = limit_bytes.map_or(u64::MAX, |limit| limit.saturating_sub(copied));
-        let passed = (read as u64).min(left) as usize;
-        if to.write_all(&buffer[..passed]).await.is_err() || passed < read {
+        let remaining = limit_bytes.map_or(u64::MAX, |limit| limit.saturating_sub(copied));
+        let allowed = (read as u64).min(remaining) as usize;
+        if to.write_all(&buffer[..allowed]).await.is_err() || allowed < read {
             return;
         }
-        copied += passed as u64;
+        copied += allowed as u64;
     }
 }
--- a/crates/teaseltrack-lab/src/report.rs
+++ b/crates/teaseltrack-lab/src/report.rs
@@ -1,42 +1,42 @@
-//! What an experiment measured, for people and for programs.
+//! Report of an experiment, as text and as JSON.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Metrics of one run of an experiment; units are suffixes of the names.
+/// Metrics of one run of an experiment; metric names end with the unit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the experiment.
     pub experiment: String,
-    /// Seed of all that was random in it.
+    /// Seed of its random number generators.
     pub seed: u64,
-    /// Values by name.
+    /// Metric values by name.
     pub metrics: BTreeMap<String, f64>,
 }
 
 impl Report {
-    /// A report without metrics.
+    /// Creates a report without metrics.
     pub fn new(experiment: &str, seed: u64) -> Self {
         Self { experiment: experiment.to_owned(), seed, metrics: BTreeMap::new() }
     }
 
-    /// Adds a metric.
+    /// Sets a metric.
     pub fn set(&mut self, name: &str, value: f64) {
         self.metrics.insert(name.to_owned(), value);
     }
 
-    /// Adds a count.
+    /// Sets a metric that is a count.
     pub fn count(&mut self, name: &str, value: u64) {
         self.set(name, value as f64);
     }
 
-    /// One JSON object on one line.
+    /// Formats the report as one JSON object on one line.
     pub fn json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// A table for people.
+    /// Formats the report as a table.
     pub fn text(&self) -> String {
         let width = self.metrics.keys().map(String::len).max().unwrap_or(0);
         let rows: Vec<String> = self
@@ -48,7 +48,7 @@
     }
 }
 
-/// The value in the middle.
+/// Returns the median, the upper one of an even number of values; NaN if there are none.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
--- a/crates/teaseltrack-lab/src/server.rs
+++ b/crates/teaseltrack-lab/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server whose handler may cut the connection instead of answering.
+//! HTTP/1.1 server whose handler may close the connection instead of responding.
 
 use std::future::Future;
 
@@ -9,7 +9,8 @@
 use tokio::{net::TcpListener, task::JoinSet};
 use tokio_util::sync::CancellationToken;
 
-/// Serves until cancelled, then cuts all connections; a handler's `None` cuts its own.
+/// Serves until cancelled, then closes all connections. If the handler returns `None`, its
+/// connection is closed without a response.
 pub async fn serve_or_abort<H, F>(listener: TcpListener, closing: CancellationToken, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -26,8 +27,8 @@
         drop(stream.set_nodelay(true));
         let handler = handler.clone();
         let service = service_fn(move |request| {
-            let answer = handler(request);
-            async move { answer.await.ok_or("the connection is cut") }
+            let response = handler(request);
+            async move { response.await.ok_or("connection closed without a response") }
         });
         connections.spawn(async move {
             drop(http1::Builder::new().serve_connection(TokioIo::new(stream), service).await);
--- a/crates/teaseltrack-lab/src/target.rs
+++ b/crates/teaseltrack-lab/src/target.rs
@@ -1,7 +1,8 @@
-//! Stand-in of a request service.
+//! Simulated request service.
 //!
-//! It answers each request with the request's own identifier, tells the ledger before it runs one, and
-//! can be slow, fail, or cut connections before or within an answer.
+//! The response contains the identifier of its request, so that callers can detect mismatched
+//! responses. Each request is recorded in the ledger before it is executed. Faults can be injected:
+//! latency, errors, and connections that are closed before or within a response.
 
 use std::{
     net::SocketAddr,
@@ -40,77 +41,78 @@
     server::serve_or_abort,
 };
 
-/// Time between announcements.
+/// Interval between announcements.
 const ANNOUNCE_PERIOD: Duration = Duration::from_millis(500);
-/// Time for the agent to answer an announcement, or to drain.
+/// Timeout for the response to an announcement, and for the agent to drain.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between the first byte of an answer and its cut, so that the byte goes out.
-const CUT_DELAY: Duration = Duration::from_millis(20);
-/// Largest body, in bytes.
+/// Delay between the first byte of a truncated response and the close, so that the byte is sent.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
+/// Maximum size of a body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Path that sets the behaviour.
+/// Path of the endpoint that sets the behaviour.
 const BEHAVIOUR_PATH: &str = "/lab/behaviour";
 
-/// How a target behaves.
+/// Latency and fault injection of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetBehaviour {
-    /// Time that a request takes, in milliseconds.
+    /// Service time of a request, in milliseconds.
     pub service_time_ms: f64,
-    /// Most time on top, drawn evenly, in milliseconds.
+    /// Upper bound of the uniformly distributed additional service time, in milliseconds.
     pub jitter_ms: f64,
-    /// Share of requests answered with status 500.
+    /// Fraction of requests that get a response with status 500.
     pub error_ratio: f64,
-    /// Share of requests whose connection is cut before the answer.
+    /// Fraction of requests whose connection is closed after execution, before the response.
     pub cut_before_ratio: f64,
-    /// Share of requests whose connection is cut within the answer.
+    /// Fraction of requests whose connection is closed within the response.
     pub cut_within_ratio: f64,
 }
 
 /// Options of a target.
 #[derive(Clone, Debug)]
 pub struct TargetOptions {
-    /// Address on which it takes requests.
+    /// Listen address for requests.
     pub address: SocketAddr,
-    /// Address that it announces, if that is a relay's.
+    /// Address to announce instead of the listen address, if requests go through a relay.
     pub advertised: Option<SocketAddr>,
-    /// Announcement port of its agent.
+    /// Announcement address of its agent.
     pub announce: SocketAddr,
-    /// Service that it answers for.
+    /// Name of the service that it provides.
     pub service: String,
-    /// Requests that it takes at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// How it behaves.
+    /// Initial behaviour.
     pub behaviour: TargetBehaviour,
-    /// Where it tells what ran.
+    /// Address of the ledger that receives its events, if any.
     pub ledger: Option<SocketAddr>,
 }
 
-/// A running target, cheap to clone.
+/// Handle to a running target, cheap to clone.
 #[derive(Clone)]
 pub struct Target {
     address: SocketAddr,
     slots: u32,
-    /// Requests beyond the slots wait their turn here.
-    turns: Arc<Semaphore>,
+    /// Limits concurrent execution to the slots; further requests wait.
+    slot_permits: Arc<Semaphore>,
     behaviour: Arc<Mutex<TargetBehaviour>>,
     running: Arc<AtomicU32>,
     ledger: LedgerSender,
     announce: SocketAddr,
     closing: CancellationToken,
-    leaving: CancellationToken,
+    draining: CancellationToken,
 }
 
-struct Running(Arc<AtomicU32>);
+/// Decrements the number of running requests on drop.
+struct RunningGuard(Arc<AtomicU32>);
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 impl Target {
-    /// Starts a target and its announcements.
+    /// Starts a target that announces itself periodically.
     ///
     /// # Errors
     ///
@@ -121,13 +123,13 @@
         let target = Self {
             address,
             slots: options.slots,
-            turns: Arc::new(Semaphore::new(options.slots as usize)),
+            slot_permits: Arc::new(Semaphore::new(options.slots as usize)),
             behaviour: Arc::new(Mutex::new(options.behaviour)),
             running: Arc::default(),
             ledger,
             announce: options.announce,
             closing: CancellationToken::new(),
-            leaving: CancellationToken::new(),
+            draining: CancellationToken::new(),
         };
         let announcement = TargetAnnouncement {
             service: options.service,
@@ -135,44 +137,45 @@
             slots: options.slots,
             process: format!("{:016x}", rand::rng().random::<u64>()),
         };
-        let served = target.clone();
-        let handler = move |request| served.clone().answer(request);
+        let service = target.clone();
+        let handler = move |request| service.clone().handle(request);
         tokio::spawn(serve_or_abort(listener, target.closing.clone(), handler));
-        tokio::spawn(target.clone().keep_announcing(announcement));
+        tokio::spawn(target.clone().announce_periodically(announcement));
         Ok(target)
     }
 
-    /// Sets the behaviour.
+    /// Replaces the behaviour.
     pub fn set_behaviour(&self, behaviour: TargetBehaviour) {
         *self.behaviour.lock().unwrap_or_else(PoisonError::into_inner) = behaviour;
     }
 
-    /// Leaves by a planned stop: withdraws, waits until the agent has drained, and closes.
+    /// Shuts down gracefully: withdraws the announcement, waits until the agent has drained, and
+    /// closes all connections.
     pub async fn shut_down(&self) {
-        self.leaving.cancel();
+        self.draining.cancel();
         let client = HttpClient::new(ANNOUNCE_TIMEOUT);
-        let answer = client
+        let response = client
             .call::<_, serde_json::Value>(Method::DELETE, self.announce, "/target", &json!(null))
             .await;
-        drop(answer);
+        drop(response);
         self.closing.cancel();
     }
 
-    async fn keep_announcing(self, announcement: TargetAnnouncement) {
+    async fn announce_periodically(self, announcement: TargetAnnouncement) {
         let client = HttpClient::new(ANNOUNCE_TIMEOUT);
         loop {
-            let answer = client
+            let response = client
                 .call::<_, serde_json::Value>(Method::PUT, self.announce, "/target", &announcement)
                 .await;
-            drop(answer);
+            drop(response);
             tokio::select! {
                 () = sleep(ANNOUNCE_PERIOD) => {}
-                () = self.leaving.cancelled() => return,
+                () = self.draining.cancelled() => return,
             }
         }
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
+    async fn handle(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
         if request.uri().path() == BEHAVIOUR_PATH {
             return Some(match read_json(request.into_body(), MAX_BODY_BYTES).await {
                 Ok(behaviour) => {
@@ -182,16 +185,16 @@
                 Err(problem) => problem.into_response(),
             });
         }
-        self.run(request).await
+        self.execute(request).await
     }
 
-    async fn run(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
+    async fn execute(self, request: Request<Incoming>) -> Option<Response<ResponseBody>> {
         let behaviour = *self.behaviour.lock().unwrap_or_else(PoisonError::into_inner);
         let (parts, body) = request.into_parts();
         let request_id = parts.headers.get(headers::REQUEST_ID).cloned();
         let request_id = request_id.unwrap_or_else(|| HeaderValue::from_static("none"));
         let running = self.running.fetch_add(1, Ordering::SeqCst) + 1;
-        let guard = Running(self.running.clone());
+        let guard = RunningGuard(self.running.clone());
         (self.ledger)(LedgerEvent::RequestStarted {
             target: self.address,
             request_id: String::from_utf8_lossy(request_id.as_bytes()).into_owned(),
@@ -199,25 +202,25 @@
             running,
             slots: self.slots,
         });
-        let received = read_body(body, MAX_BODY_BYTES).await.ok()?;
-        let turn = self.turns.acquire().await.ok()?;
+        let request_body = read_body(body, MAX_BODY_BYTES).await.ok()?;
+        let permit = self.slot_permits.acquire().await.ok()?;
         let jitter_ms = behaviour.jitter_ms * rand::rng().random::<f64>();
         sleep(Duration::from_secs_f64((behaviour.service_time_ms + jitter_ms) / 1_000.0)).await;
-        drop(turn);
+        drop(permit);
         drop(guard);
-        if chance(behaviour.cut_before_ratio) {
+        if random_bool(behaviour.cut_before_ratio) {
             return None;
         }
         let query = parts.uri.query().unwrap_or_default();
-        let bytes = query.strip_prefix("bytes=").and_then(|bytes| bytes.parse().ok());
+        let padding = query.strip_prefix("bytes=").and_then(|bytes| bytes.parse().ok());
         let mut text = request_id.as_bytes().to_vec();
-        text.resize(text.len() + bytes.unwrap_or(received.len()), b'.');
-        let mut response = if chance(behaviour.cut_within_ratio) {
-            Response::new(cut_body(text))
+        text.resize(text.len() + padding.unwrap_or(request_body.len()), b'.');
+        let mut response = if random_bool(behaviour.cut_within_ratio) {
+            Response::new(truncated_body(text))
         } else {
             Response::new(full_body(text))
         };
-        if chance(behaviour.error_ratio) {
+        if random_bool(behaviour.error_ratio) {
             *response.status_mut() = http::StatusCode::INTERNAL_SERVER_ERROR;
         }
         response.headers_mut().insert(headers::REQUEST_ID, request_id);
@@ -225,22 +228,22 @@
     }
 }
 
-fn chance(ratio: f64) -> bool {
-    ratio > 0.0 && rand::rng().random::<f64>() < ratio
+fn random_bool(probability: f64) -> bool {
+    probability > 0.0 && rand::rng().random::<f64>() < probability
 }
 
-/// A body that stops short after its first byte has gone out.
-fn cut_body(text: Vec<u8>) -> ResponseBody {
+/// Creates a body that fails after its first byte has been sent.
+fn truncated_body(text: Vec<u8>) -> ResponseBody {
     let first = Bytes::from(text).slice(..1);
-    let begun = stream::once(ready(Ok(Frame::data(first))));
-    let cut = stream::once(async {
-        sleep(CUT_DELAY).await;
-        Err("the connection is cut".into())
+    let first_chunk = stream::once(ready(Ok(Frame::data(first))));
+    let failure = stream::once(async {
+        sleep(TRUNCATION_DELAY).await;
+        Err("response truncated by fault injection".into())
     });
-    StreamBody::new(begun.chain(cut)).boxed_unsync()
+    StreamBody::new(first_chunk.chain(failure)).boxed_unsync()
 }
 
-/// Serves requests until the process is asked to stop, then leaves by a planned stop.
+/// Serves requests until SIGTERM, then shuts down gracefully.
 ///
 /// # Errors
 ///
--- a/crates/teaseltrack-lab/src/worker.rs
+++ b/crates/teaseltrack-lab/src/worker.rs
@@ -1,7 +1,8 @@
 //! Simulation of the platform's worker.
 //!
-//! Simulated tasks progress with elapsed time while a lease, measured on the worker's clock, is valid.
-//! The worker pauses them when the lease expires and drops them when the incarnation changes.
+//! Simulated tasks progress with elapsed time while a lease, measured on the worker's clock, is
+//! valid. The worker pauses them when the lease expires and drops them when the incarnation
+//! changes.
 
 use std::{
     collections::BTreeMap,
