--- a/crates/teaseltrack/src/journal.rs
+++ b/crates/teaseltrack/src/journal.rs
@@ -32,7 +32,7 @@
         sequence: u64,
     },
     /// The sequence number or hash of an entry does not match its predecessor.
-    #[snafu(display("{stream}: entry {sequence} does not match the hash chain"))]
+    #[snafu(display("{stream}: entry {sequence} doesn't follow from the one before it"))]
     Inconsistent {
         /// Name of the stream.
         stream: String,
@@ -40,7 +40,7 @@
         sequence: u64,
     },
     /// An entry cannot be parsed.
-    #[snafu(display("{stream}: entry {sequence} cannot be parsed: {message}"))]
+    #[snafu(display("{stream}: entry {sequence} can't be read: {message}"))]
     Unreadable {
         /// Name of the stream.
         stream: String,
@@ -169,7 +169,7 @@
 pub struct ChainPosition {
     /// Sequence number of the last verified entry; 0 before the first.
     pub sequence: u64,
-    /// Hash of the last verified entry.
+    /// Hash of the last verified entry; empty before the first.
     pub hash: String,
 }
 
