--- a/crates/teaseltrack/src/cell.rs
+++ b/crates/teaseltrack/src/cell.rs
@@ -61,7 +61,7 @@
 /// Interval of interference estimation, stall detection and slowdown decay; about the interval at
 /// which tails are reported.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Most orders in one response; keeps the response within the message size limit.
+/// Maximum number of orders in one response; keeps the response within the message size limit.
 const MAX_ORDERS_PER_RESPONSE: usize = 64;
 
 /// Settings of a cell's owner.
@@ -77,7 +77,7 @@
     pub agent_timeout: Duration,
     /// Time without new assignments to a worker after it refused a start.
     pub refusal_backoff: Duration,
-    /// Detection of failing, slow and stalled workers.
+    /// Detection of failing and slow workers and of stalled runs.
     pub health: health::HealthSettings,
     /// Placement and sharing of workers.
     pub planning: planning::PlanningSettings,
@@ -382,7 +382,7 @@
     }
 
     /// State of a job as shown to its caller. `Completed` and `Failed` are shown only once they are
-    /// committed; a cancellation is stored before it gets here and is shown at once.
+    /// committed; a cancellation is stored before the owner applies it, and is shown at once.
     pub fn state(&self, id: &str) -> Option<JobState> {
         let job = &self.jobs[*self.by_id.get(id)?];
         let is_committed = !job.state.is_final() || job.committed_state == job.state;
@@ -393,7 +393,7 @@
         })
     }
 
-    /// Number of jobs in a queue of which no task has been assigned.
+    /// Number of jobs of a queue in state [`JobState::Queued`].
     pub fn pending_count(&self, queue: &str) -> usize {
         self.active
             .iter()
@@ -402,14 +402,15 @@
             .count()
     }
 
-    /// Number of jobs that are not final, or whose final state is not yet committed.
+    /// Number of jobs that are not final, still have runs, or whose final state is not yet
+    /// committed.
     pub fn open_count(&self) -> usize {
         self.active.len()
     }
 
     /// Processes an agent's report and returns the response.
     ///
-    /// `may_grant` tells whether the owner may still grant leases.
+    /// `may_grant` is true while the owner may grant leases.
     pub fn handle_report(
         &mut self,
         report: Report,
@@ -501,7 +502,7 @@
         }
     }
 
-    /// Feeds the interference model with the tails of serving tasks and the processor use of the
+    /// Feeds the interference model with the tails of serving tasks and the CPU use of the
     /// colocated best-effort tasks, and updates the worker's headrooms.
     fn observe_interference(&mut self, key: WorkerKey, running: &[RunningTask], now: Instant) {
         let Some(status) = self.workers[key].status.as_ref() else { return };
@@ -614,7 +615,7 @@
                 for (index, progress) in tasks.into_iter().enumerate() {
                     let run = match &progress.phase {
                         TaskPhase::Assigned(incarnation) => {
-                            let worker = self.worker_by_incarnation(incarnation, lease_end, now);
+                            let worker = self.get_or_insert_worker(incarnation, lease_end, now);
                             let task = TaskKey {
                                 job: key,
                                 occurrence: occurrence as u32,
@@ -634,7 +635,7 @@
         }
     }
 
-    fn worker_by_incarnation(
+    fn get_or_insert_worker(
         &mut self,
         incarnation: &str,
         lease_end: Instant,
@@ -731,7 +732,7 @@
         if worker_clock_ms > worker.clock_ms {
             worker.clock_ms = worker_clock_ms;
             let end = now + worst_case_lease;
-            worker.lease_end = Some(worker.lease_end.map_or(end, |known| known.max(end)));
+            worker.lease_end = Some(worker.lease_end.map_or(end, |current| current.max(end)));
         }
     }
 
@@ -1021,14 +1022,14 @@
             .map(|occurrence| {
                 let stages = occurrence.stages.iter();
                 stages
-                    .map(|tasks| tasks.iter().map(|task| self.committed_progress(task)).collect())
+                    .map(|tasks| tasks.iter().map(|task| self.progress_to_commit(task)).collect())
                     .collect()
             })
             .collect();
         JobProgress { state: job.state, occurrences }
     }
 
-    fn committed_progress(&self, task: &Task) -> TaskProgress {
+    fn progress_to_commit(&self, task: &Task) -> TaskProgress {
         let mut progress = task.progress.clone();
         if let Some(worker) = task.run.as_ref().and_then(|run| self.workers.get(run.worker))
             && progress.phase != TaskPhase::Done
--- a/crates/teaseltrack/src/cell/health.rs
+++ b/crates/teaseltrack/src/cell/health.rs
@@ -1,4 +1,4 @@
-//! Detection of failing, slow and stalled workers from the runs of their tasks.
+//! Detection of failing and slow workers and of stalled runs.
 //!
 //! A worker on which several runs in a row fail is put on probation and gets no new tasks. A
 //! worker's slowdown follows from run times relative to other tasks of the same stage. A stalled
@@ -93,6 +93,7 @@
         };
         task.run_time = Some(run_time);
         let Some(median) = self.median_run_time(task_key) else { return };
+        // Medians below 50 ms count as 50 ms, so that short runs yield no extreme ratios.
         let ratio = run_time.as_secs_f64() / median.as_secs_f64().max(0.05);
         let worker = &mut self.workers[key];
         worker.slowdown += weight * (ratio - worker.slowdown);
--- a/crates/teaseltrack/src/cell/interference.rs
+++ b/crates/teaseltrack/src/cell/interference.rs
@@ -1,11 +1,11 @@
 //! Estimates how strongly each best-effort image slows each serving image.
 //!
-//! The tail of a serving task changes slowly with its own load and quickly with the processor use
-//! of colocated best-effort tasks. For each serving image, a linear regression therefore relates
-//! the change of utilization between two reports, derived from the tail by [`tail_model`], to the
-//! change of the processor share that each best-effort image uses. Samples of all workers feed one
-//! model; they are weighted by the noise of the tails and decay with age. The regression result of
-//! a pair is combined with [`PRIOR`].
+//! The tail of a serving task changes slowly with its own load and quickly with the CPU use of
+//! colocated best-effort tasks. For each serving image, a linear regression therefore relates the
+//! change of utilization between two reports, derived from the tail by [`tail_model`], to the
+//! change of the CPU share that each best-effort image uses. Samples of all workers feed one model;
+//! they are weighted by the noise of the tails and decay with age. The regression result of a pair
+//! is combined with [`PRIOR`].
 //!
 //! [`tail_model`]: crate::cell::tail_model
 
@@ -24,7 +24,7 @@
 
 /// Name of an image.
 pub type ImageName = String;
-/// Share of a worker's processors used by each best-effort image.
+/// Share of a worker's CPU used by each best-effort image.
 pub type ImageUsage = BTreeMap<ImageName, f64>;
 
 /// Prior of a pair's utilization growth. It is bimodal: an image slows a serving image either
--- a/crates/teaseltrack/src/cell/job.rs
+++ b/crates/teaseltrack/src/cell/job.rs
@@ -64,7 +64,7 @@
     pub is_speculative: bool,
     /// Whether tasks run until the job is cancelled.
     pub is_long_running: bool,
-    /// Whether tasks use only processor time that other tasks leave idle.
+    /// Whether tasks use only CPU time that other tasks leave idle.
     pub is_best_effort: bool,
     /// Label that a worker must have.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -169,7 +169,7 @@
     pub priority: u32,
     /// Number of failures of one task at which its job fails.
     pub max_attempts: u32,
-    /// Factor on the critical path of a job in its completion time objective.
+    /// Factor by which the completion time objective multiplies the critical path of a job.
     pub stretch: f64,
     /// Constant part of the completion time objective, in milliseconds.
     pub objective_ms: u64,
--- a/crates/teaseltrack/src/cell/ownership.rs
+++ b/crates/teaseltrack/src/cell/ownership.rs
@@ -1,7 +1,7 @@
 //! Ownership of a cell.
 //!
-//! One row names the owner, which rewrites it with every commit. Once the row hasn't changed for a
-//! timeout, a candidate takes over the cell by a transaction that is conditional on the row's
+//! One row names the owner. The owner rewrites it with every commit. Once the row hasn't changed
+//! for a timeout, a candidate takes over the cell by a transaction that is conditional on the row's
 //! version. Safety doesn't depend on the timeout: agents obey the highest epoch, and an owner
 //! grants leases only for a bounded time after sending its last successful commit.
 
--- a/crates/teaseltrack/src/cell/pacing.rs
+++ b/crates/teaseltrack/src/cell/pacing.rs
@@ -29,8 +29,8 @@
 pub struct PacingSettings {
     /// Share of its target to which a tail is controlled under interference.
     pub setpoint: f64,
-    /// Weight of the newest sample in the moving average of a serving task's base utilization;
-    /// single tails are noisy.
+    /// Weight of the newest sample in the moving average of a serving task's base utilization (the
+    /// utilization without interference); single tails are noisy.
     pub smoothing_factor: f64,
     /// Minimum change of a pace that is sent to the worker, in percent.
     pub min_change_percent: u32,
@@ -73,7 +73,7 @@
     full_pace_shares: HashMap<TaskName, f64>,
     previous_usage: ImageUsage,
     base_utilizations: HashMap<TaskName, f64>,
-    target_percents: HashMap<TaskName, u32>,
+    allocated_percents: HashMap<TaskName, u32>,
     over_target_since: Option<Instant>,
     paused_until: Option<Instant>,
     tail_to_target: f64,
@@ -90,7 +90,7 @@
             full_pace_shares: HashMap::new(),
             previous_usage: ImageUsage::new(),
             base_utilizations: HashMap::new(),
-            target_percents: HashMap::new(),
+            allocated_percents: HashMap::new(),
             over_target_since: None,
             paused_until: None,
             tail_to_target: 0.0,
@@ -145,8 +145,8 @@
     }
 
     fn pace_change(&self, run: &RunningTask) -> Option<PaceChange> {
-        let target_percent = *self.target_percents.get(&run.task)?;
-        let percent = if self.is_paused() { 0 } else { target_percent };
+        let allocated_percent = *self.allocated_percents.get(&run.task)?;
+        let percent = if self.is_paused() { 0 } else { allocated_percent };
         let current = self.current_percent(run);
         let is_small = percent.abs_diff(current) < self.settings.min_change_percent;
         let is_limit = percent == 0 || percent == FULL_PERCENT;
@@ -227,7 +227,8 @@
         running: &[RunningTask],
         usage: &ImageUsage,
     ) -> BTreeMap<ImageName, f64> {
-        // The averaging window of the tails still covers part of the previous usage.
+        // The averaging window of the tails still covers part of the previous usage, so the higher
+        // of the two usages counts.
         let mut recent_usage = usage.clone();
         for (image, share) in &self.previous_usage {
             let bound = recent_usage.entry(image.clone()).or_insert(*share);
@@ -287,7 +288,7 @@
             .map(|image| (image.clone(), self.allowed_share(image, &headrooms)))
             .collect();
         images.sort_by(|(_, left), (_, right)| right.total_cmp(left));
-        self.target_percents.clear();
+        self.allocated_percents.clear();
         for (image, _) in images {
             let Some(mut tasks) = demands.remove(&image) else { continue };
             tasks.sort_by_key(|demand| {
@@ -300,7 +301,7 @@
                 let percent = self.pace_percent(pace);
                 remaining_share -=
                     demand.full_pace_share * f64::from(percent) / f64::from(FULL_PERCENT);
-                self.target_percents.insert(demand.run.task.clone(), percent);
+                self.allocated_percents.insert(demand.run.task.clone(), percent);
             }
             if allowed_share.is_finite() {
                 for (serving, headroom) in &mut headrooms {
--- a/crates/teaseltrack/src/cell/planning.rs
+++ b/crates/teaseltrack/src/cell/planning.rs
@@ -38,8 +38,8 @@
     pub best_effort_min_share: f64,
     /// Share of its target that no serving task's tail may exceed after a best-effort task starts.
     pub tail_limit: f64,
-    /// Most tasks on one worker of a best-effort image whose interference with the worker's serving
-    /// images is not yet known.
+    /// Maximum number of tasks of a best-effort image on one worker while the estimates don't show
+    /// whether it interferes with the worker's serving images.
     pub trial_tasks_per_worker: u32,
     /// Waiting time after which a best-effort job without runs gets a task regardless of
     /// interference.
@@ -52,8 +52,8 @@
     pub move_cooldown: Duration,
     /// Time until the CPU use of an assigned best-effort task appears in its worker's reports.
     pub usage_report_delay: Duration,
-    /// Factor on the time that the whole fleet needs for a best-effort job's remaining work; the
-    /// product delays the job in the order of best-effort jobs.
+    /// Weight of the remaining work in the order of best-effort jobs: a job is delayed by this
+    /// factor times the time that the whole fleet needs for its remaining work.
     pub remaining_work_weight: f64,
     /// Factor on a job's objective beyond which the job is scheduled last among its kind.
     pub long_overdue_factor: f64,
@@ -90,6 +90,7 @@
 /// Stage with tasks that wait to be assigned.
 #[derive(Clone, Debug)]
 struct Candidate {
+    /// Kind, lateness, queue priority, and deadline or its substitute; the lowest comes first.
     rank: (TaskKind, Lateness, u32, Instant),
     stage: TaskKey,
     waiting: Vec<u32>,
@@ -328,8 +329,8 @@
         let mut placed = Vec::new();
         for &index in &candidate.waiting {
             let key = TaskKey { index, ..candidate.stage };
-            let reserve = self.batch_reserve_for(key, now);
-            let chosen = self.choose_worker(key, &stage, workers, reserve);
+            let batch_reserve = self.batch_reserve_for(key, now);
+            let chosen = self.choose_worker(key, &stage, workers, batch_reserve);
             let Some(worker) = chosen else {
                 unplaceable.record(&service, &stage);
                 // Whether a serving task may use the reserve depends on its own waiting time; all
@@ -426,12 +427,12 @@
         &mut self,
         key: TaskKey,
         stage: &Stage,
-        worker: WorkerKey,
+        worker_key: WorkerKey,
         attempt: Option<AttemptNumber>,
     ) {
-        let target = &mut self.workers[worker];
-        target.reserve(key, stage);
-        let run = Run::new(worker, target.session);
+        let worker = &mut self.workers[worker_key];
+        worker.reserve(key, stage);
+        let run = Run::new(worker_key, worker.session);
         let last = self.task(key).map_or(0, |task| task.progress.attempt);
         let attempt = attempt.unwrap_or_else(|| self.attempt_after(last));
         if let Some(task) = self.task_mut(key) {
--- a/crates/teaseltrack/src/cell/progress.rs
+++ b/crates/teaseltrack/src/cell/progress.rs
@@ -15,10 +15,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// No task has started.
+    /// No task has been assigned.
     #[default]
     Queued,
-    /// A task has started.
+    /// A task has been assigned.
     Active,
     /// All tasks have completed.
     Completed,
--- a/crates/teaseltrack/src/cell/protocol.rs
+++ b/crates/teaseltrack/src/cell/protocol.rs
@@ -77,7 +77,7 @@
     pub checkpoint: String,
     /// Completed share of the work; always 100 for active long-running tasks.
     pub percent: u32,
-    /// Tail latency in milliseconds for serving tasks, otherwise processor use in millicores.
+    /// Tail latency in milliseconds for serving tasks, otherwise CPU use in millicores.
     pub gauge: u64,
 }
 
--- a/crates/teaseltrack/src/cell/regrouping.rs
+++ b/crates/teaseltrack/src/cell/regrouping.rs
@@ -1,9 +1,9 @@
 //! Moves of serving tasks that prevent best-effort tasks from running on a worker.
 //!
 //! A single serving task near its peak load limits all best-effort tasks of its worker. A serving
-//! task with other interfering images than its colocated tasks leaves no best-effort image that may
-//! run there. Such tasks are moved, one at a time, once a worker with a better colocation has
-//! enough free capacity.
+//! task whose interfering images differ from those of the worker's other serving tasks leaves no
+//! best-effort image that may run there. Such tasks are moved, one at a time, once a worker with a
+//! better colocation has enough free capacity.
 
 use std::time::Instant;
 
@@ -14,7 +14,7 @@
     worker::{TaskKey, Worker},
 };
 
-/// Most serving tasks on a worker that are worth moving, given that each move interrupts a task.
+/// Maximum number of tasks to move off a worker; moving more isn't worth the interruptions.
 const MAX_MOVED_TASKS: usize = 2;
 
 impl Cell {
@@ -82,7 +82,8 @@
         if outliers.len() <= MAX_MOVED_TASKS { outliers } else { Vec::new() }
     }
 
-    /// Whether the task wasn't moved recently and its stage has every task serving.
+    /// Whether the task wasn't moved recently, and its stage tolerates an unavailable task and has
+    /// none now.
     fn may_move(&self, key: TaskKey, now: Instant) -> bool {
         let cooldown = self.settings.planning.move_cooldown;
         let is_serving = |run: &Run| run.is_listed && !run.is_stopping && run.percent >= 100;
@@ -100,10 +101,10 @@
         let service = &self.jobs[key.job].queue.service;
         let count = |worker: &Worker| worker.serving_images.values().sum::<u32>();
         let source_count = count(&self.workers[source]);
-        workers.iter().filter(|target| **target != source).any(|target| {
-            let target = &self.workers[*target];
-            let score = self.score(target, service, (key, stage), 0.0);
-            count(target) >= source_count
+        workers.iter().filter(|candidate| **candidate != source).any(|candidate| {
+            let candidate = &self.workers[*candidate];
+            let score = self.score(candidate, service, (key, stage), 0.0);
+            count(candidate) >= source_count
                 && score.is_some_and(|score| score.colocation == Colocation::Similar)
         })
     }
--- a/crates/teaseltrack/src/cell/scoring.rs
+++ b/crates/teaseltrack/src/cell/scoring.rs
@@ -23,7 +23,8 @@
     preference: i64,
     /// Colocation with serving tasks.
     pub(super) colocation: Colocation,
-    /// CPU for comparison, in thousandths of a core.
+    /// In millicores: for a batch task the CPU that remains free, for a serving task the same
+    /// negated, so that workers are filled up, and for a best-effort task the CPU that it may use.
     cpu_milli: i64,
 }
 
@@ -44,20 +45,20 @@
 impl Cell {
     /// Returns the worker with the best score for a task; `None` if no worker can run it now.
     ///
-    /// `reserve` is the share of a worker's CPU that a serving task must leave free.
+    /// `batch_reserve` is the share of a worker's CPU that a serving task must leave free.
     pub(super) fn choose_worker(
         &self,
         key: TaskKey,
         stage: &Stage,
         workers: &[WorkerKey],
-        reserve: f64,
+        batch_reserve: f64,
     ) -> Option<WorkerKey> {
         let service = &self.jobs[key.job].queue.service;
         workers
             .iter()
             .filter_map(|&candidate| {
                 let worker = &self.workers[candidate];
-                let score = self.score(worker, service, (key, stage), reserve)?;
+                let score = self.score(worker, service, (key, stage), batch_reserve)?;
                 Some((candidate, score))
             })
             .max_by_key(|(_, score)| *score)
@@ -98,7 +99,7 @@
         worker: &Worker,
         service: &str,
         (key, stage): (TaskKey, &Stage),
-        reserve: f64,
+        batch_reserve: f64,
     ) -> Option<PlacementScore> {
         if !self.can_place(worker, service, (key, stage)) {
             return None;
@@ -111,7 +112,7 @@
             TaskKind::Batch if worker.headrooms.is_empty() => (Colocation::Empty, remaining_milli),
             TaskKind::Batch => (Colocation::Mixed, remaining_milli),
             TaskKind::Serving => {
-                let reserve_milli = (status.capacity.cpu_milli as f64 * reserve) as i64;
+                let reserve_milli = (status.capacity.cpu_milli as f64 * batch_reserve) as i64;
                 let has_capacity = remaining_milli >= reserve_milli;
                 has_capacity.then(|| (self.colocation(worker, stage), -remaining_milli))?
             }
@@ -152,7 +153,7 @@
         }
     }
 
-    /// CPU that no task uses or is about to use, in thousandths of a core.
+    /// CPU that no task uses or is about to use, in millicores.
     fn spare_milli(&self, worker: &Worker) -> i64 {
         let capacity_milli = worker.status.as_ref().map_or(0, |status| status.capacity.cpu_milli);
         let serving_milli =
@@ -186,9 +187,9 @@
     }
 
     /// CPU that another best-effort task may use without pushing a colocated tail over its limit,
-    /// in thousandths of a core.
+    /// in millicores.
     ///
-    /// The number of tasks is limited for images whose interference is not yet known.
+    /// The number of tasks is limited for images whose interference estimate is inconclusive.
     fn interference_limit_milli(&self, worker: &Worker, stage: &Stage) -> i64 {
         let estimates = self.interference.estimates();
         let image = stage.image.as_deref().unwrap_or_default();
--- a/crates/teaseltrack/src/cell/tail_model.rs
+++ b/crates/teaseltrack/src/cell/tail_model.rs
@@ -1,4 +1,4 @@
-//! Model of the effect of best-effort tasks on a serving task's tail latency.
+//! Model of the interference of best-effort tasks with a serving task's tail latency.
 //!
 //! A serving task is modelled as a queue: with the idle tail `t` and the utilization `q`, its tail
 //! is `t / (1 - q)`. A best-effort image slows its work, so that the utilization is multiplied by
--- a/crates/teaseltrack/src/cell/worker.rs
+++ b/crates/teaseltrack/src/cell/worker.rs
@@ -30,7 +30,7 @@
     pub index: u32,
 }
 
-/// CPU requested by the tasks on a worker, in thousandths of a core.
+/// CPU requested by the tasks on a worker, in millicores.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
     /// Requested by batch tasks, which reserve CPU and run to completion.
@@ -46,7 +46,7 @@
 pub struct ImageDemand {
     /// Number of tasks.
     pub task_count: u32,
-    /// Requested CPU, in thousandths of a core.
+    /// Requested CPU, in millicores.
     pub cpu_milli: u64,
 }
 
@@ -55,7 +55,7 @@
 pub struct RecentAssignment {
     /// Time of the assignment.
     pub at: Instant,
-    /// Requested CPU, in thousandths of a core.
+    /// Requested CPU, in millicores.
     pub cpu_milli: u64,
 }
 
@@ -78,7 +78,7 @@
     /// Time by which the lease has expired on the worker, so that nothing runs there any more;
     /// `None` if no lease was granted.
     pub lease_end: Option<Instant>,
-    /// Latest known reading of the worker's clock, in milliseconds.
+    /// Highest reported reading of the worker's clock, in milliseconds.
     pub clock_ms: u64,
     /// Time of the last report from its agent.
     pub last_report_at: Instant,
@@ -86,7 +86,7 @@
     pub is_reachable: bool,
     /// Time until which the worker gets no new tasks after a refused start or consecutive failures.
     pub ineligible_until: Option<Instant>,
-    /// Number of failed runs since the last one that was done.
+    /// Number of failed runs since the last completed one.
     pub consecutive_failures: u32,
     /// Moving average of run times relative to the median of their stage; 1 for a typical worker.
     pub slowdown: f64,
@@ -104,7 +104,7 @@
     pub remaining_headrooms: Vec<(ImageName, f64)>,
     /// Best-effort tasks by image.
     pub best_effort_images: BTreeMap<ImageName, ImageDemand>,
-    /// CPU use of best-effort tasks in the last listing, in thousandths of a core.
+    /// CPU use of best-effort tasks in the last listing, in millicores.
     pub best_effort_used_milli: u64,
     /// Recently assigned best-effort tasks, whose CPU use is not reported yet.
     pub recent_assignments: Vec<RecentAssignment>,
--- a/crates/teaseltrack/src/configuration.rs
+++ b/crates/teaseltrack/src/configuration.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Applied records and the specifications parsed from them.
+/// Applied records other than jobs, and the specifications parsed from them.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
     revision: Revision,
@@ -100,11 +100,11 @@
         if self.records.get(&key).is_some_and(|existing| existing.revision >= record.revision) {
             return;
         }
-        self.activate(&record);
+        self.replace_spec(&record);
         self.records.insert(key, record);
     }
 
-    fn activate(&mut self, record: &Record) {
+    fn replace_spec(&mut self, record: &Record) {
         let name = &record.name;
         match record.kind {
             RecordKind::Service => drop(self.services.remove(name)),
--- a/crates/teaseltrack/src/ids.rs
+++ b/crates/teaseltrack/src/ids.rs
@@ -14,11 +14,13 @@
 pub type RequestId = String;
 /// Number of a configuration change; increases monotonically.
 pub type Revision = u64;
-/// Number of an ownership period of a shard; increases monotonically.
+/// Number of an ownership period of a shard or cell; increases monotonically.
 pub type Epoch = u64;
 /// Number of an attempt at a task; increases monotonically.
 pub type AttemptNumber = u32;
-/// Version of an instance's member entry; raised only by the instance, at each restart and change.
+/// Monotonically increasing number of one of three things: the version of an instance's member
+/// entry, raised only by the instance at each restart and change; an instance's lease; or an agent
+/// process, as the holder of a lease or shard.
 pub type Incarnation = u64;
-/// Number of a shard of the jobs.
+/// Number of a job shard.
 pub type ShardNumber = u16;
--- a/crates/teaseltrack/src/lease.rs
+++ b/crates/teaseltrack/src/lease.rs
@@ -37,11 +37,11 @@
     pub instance: InstanceId,
     /// Incremented by every lease that does not continue the previous one.
     pub incarnation: Incarnation,
-    /// Number of the agent process that renews the lease, incremented by every restart.
+    /// Number of the agent process that renews the lease; a restarted process has a higher one.
     pub holder: Incarnation,
     /// Duration of the lease, in milliseconds.
     pub ttl_ms: u64,
-    /// Whether the lease is held, released or lapsed.
+    /// State of the lease.
     pub state: LeaseState,
     /// Identifier of the transaction that wrote the row.
     pub transaction: String,
--- a/crates/teaseltrack/src/placement.rs
+++ b/crates/teaseltrack/src/placement.rs
@@ -2,9 +2,9 @@
 //!
 //! The agent's [`ReservationLedger`] is the sole authority on an instance's capacity. Shard owners
 //! keep the free capacity last reported by agents, choose between two random candidates, and
-//! reserve capacity on the chosen instance before they commit the assignment. An instance that
-//! fails consecutive tasks, at least one of whose jobs succeeds on another instance, is put on
-//! probation.
+//! reserve capacity on the chosen instance before they commit the assignment. An instance is put on
+//! probation after several consecutive task failures, provided that one of the failed jobs has
+//! succeeded on another instance.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -159,7 +159,8 @@
     }
 }
 
-/// Free capacity of the fleet's instances as known to a shard owner.
+/// Free capacity of the fleet's instances as last reported to a shard owner, less the tasks that it
+/// has assigned since.
 #[derive(Debug, Default)]
 pub struct CapacityHints {
     by_instance: BTreeMap<InstanceId, Hint>,
@@ -189,17 +190,17 @@
         self.by_instance.retain(|instance, _| is_present(instance));
     }
 
-    /// Number of known instances.
+    /// Number of instances with a reported capacity.
     pub fn len(&self) -> usize {
         self.by_instance.len()
     }
 
-    /// Whether no instance is known.
+    /// Whether no instance has a reported capacity.
     pub fn is_empty(&self) -> bool {
         self.by_instance.is_empty()
     }
 
-    /// Whether the total capacity of any known instance is sufficient.
+    /// Whether the total capacity of any of the instances is sufficient.
     pub fn is_feasible(&self, resources: &Resources) -> bool {
         self.by_instance.values().any(|hint| hint.capacity.can_fit(resources))
     }
--- a/crates/teaseltrack/src/routing.rs
+++ b/crates/teaseltrack/src/routing.rs
@@ -56,7 +56,7 @@
     pub service: ServiceName,
     /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Incarnation of the agent; statistics of an earlier incarnation are discarded.
+    /// Incarnation of the agent's member entry; a new one discards the statistics.
     pub incarnation: Incarnation,
 }
 
@@ -182,9 +182,9 @@
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<TargetKey> {
-        let known = self.by_service.get(service)?;
+        let keys = self.by_service.get(service)?;
         let untried: Vec<TargetKey> =
-            known.iter().copied().filter(|key| !tried.contains(key)).collect();
+            keys.iter().copied().filter(|key| !tried.contains(key)).collect();
         let healthy: Vec<TargetKey> =
             untried.iter().copied().filter(|key| self.targets[*key].is_healthy(now)).collect();
         let candidates = if healthy.is_empty() { &untried } else { &healthy };
--- a/crates/teaseltrack/tests/cell.rs
+++ b/crates/teaseltrack/tests/cell.rs
@@ -343,9 +343,12 @@
         }
         assert!(!self.committed_done.contains(&start.task), "{} is already done", start.task);
         for &dependency_stage in &job.spec.stages[start.task.stage as usize].after {
-            for place in 0..job.spec.stages[dependency_stage].task_count {
-                let dependency =
-                    TaskName { stage: dependency_stage as u32, index: place, ..start.task.clone() };
+            for task_index in 0..job.spec.stages[dependency_stage].task_count {
+                let dependency = TaskName {
+                    stage: dependency_stage as u32,
+                    index: task_index,
+                    ..start.task.clone()
+                };
                 assert!(
                     self.done.contains(&dependency),
                     "{} started before its dependency {dependency} was done",
--- a/crates/teaseltrack/tests/sharing.rs
+++ b/crates/teaseltrack/tests/sharing.rs
@@ -95,10 +95,10 @@
 
     /// Sends interference estimates to the owner, as agents do after a takeover.
     fn report_interference(&mut self, pairs: &[(&str, &str, f64)]) {
-        let pair = |(serving, best_effort, effect): &(&str, &str, f64)| PairInterference {
+        let pair = |(serving, best_effort, growth): &(&str, &str, f64)| PairInterference {
             serving: (*serving).to_owned(),
             best_effort: (*best_effort).to_owned(),
-            utilization_growth: *effect,
+            utilization_growth: *growth,
         };
         let estimates = InterferenceEstimates {
             version: 1_000,
@@ -343,9 +343,9 @@
     fleet.submit("serving-a", spread);
     fleet.run(Duration::from_millis(500));
     fleet.report_interference(&[("a", "heavy", 50.0)]);
-    fleet.submit("disturbing", best_effort("heavy", 4));
+    fleet.submit("interfering", best_effort("heavy", 4));
     fleet.run(Duration::from_millis(1_000));
-    assert_eq!(fleet.counts("disturbing").iter().sum::<usize>(), 0);
+    assert_eq!(fleet.counts("interfering").iter().sum::<usize>(), 0);
     fleet.run(Duration::from_millis(1_500));
-    assert_eq!(fleet.counts("disturbing").iter().sum::<usize>(), 1);
+    assert_eq!(fleet.counts("interfering").iter().sum::<usize>(), 1);
 }
