--- a/crates/teaseltrack-agent/src/agent.rs
+++ b/crates/teaseltrack-agent/src/agent.rs
@@ -19,9 +19,9 @@
     spans::Spans,
 };
 use teaseltrack_node::{
-    gossip::push_news,
+    gossip::push_updates,
     node::NodeMessage,
-    start::{Common, Identity, open_store, start_common},
+    start::{Identity, NodeContext, open_store, start_node},
 };
 use teaseltrack_platform::worker::WorkerClient;
 use teaseltrack_wire::request_path::request_path_server::RequestPathServer;
@@ -79,7 +79,7 @@
 
 /// A running agent.
 pub struct Agent {
-    common: Common,
+    common: NodeContext,
     addresses: AgentAddresses,
     capacity: CapacityHandle,
     tasks: Option<RunningTasks>,
@@ -126,7 +126,7 @@
         };
         let store = open_store(&settings.platform, clock.clone());
         let (calls, calls_receiver) = mpsc::channel(TASK_CALLS);
-        let common = start_common(
+        let common = start_node(
             identity,
             &settings.control,
             listeners.control,
@@ -178,8 +178,8 @@
             warn!(logger, "requests still running at the end of the planned stop");
         }
         sleep(REFUSAL_GRACE).await;
-        self.common.node.ask(NodeMessage::Leave).await;
-        push_news(&self.common.node, &self.common.clients).await;
+        self.common.node.request(NodeMessage::Leave).await;
+        push_updates(&self.common.node, &self.common.clients).await;
         self.common.shutdown.closing.cancel();
         drop(timeout(DRAIN_TIMEOUT, self.server).await);
         self.spans.flush();
@@ -203,7 +203,11 @@
     Ok((listeners, addresses))
 }
 
-fn start_capacity(settings: &AgentSettings, common: &Common, metrics: &Metrics) -> CapacityHandle {
+fn start_capacity(
+    settings: &AgentSettings,
+    common: &NodeContext,
+    metrics: &Metrics,
+) -> CapacityHandle {
     let limits = CapacityLimits {
         max_slots: settings.target.max_slots,
         queue_per_class: settings.requests.queue_per_class,
@@ -221,7 +225,7 @@
 
 fn start_requests(
     settings: &AgentSettings,
-    common: &Common,
+    common: &NodeContext,
     server: ForwardServer,
     listener: TcpListener,
 ) -> JoinHandle<()> {
@@ -241,7 +245,7 @@
 fn start_tasks(
     tasks: &TaskSettings,
     settings: &AgentSettings,
-    common: &Common,
+    common: &NodeContext,
     requests: &CapacityHandle,
     metrics: &Metrics,
     holder: u64,
@@ -341,7 +345,7 @@
 }
 
 fn status_report(
-    common: &Common,
+    common: &NodeContext,
     capacity: &CapacityHandle,
     target: &TargetClient,
     tasks: Option<&RunningTasks>,
--- a/crates/teaseltrack-agent/src/requests/capacity.rs
+++ b/crates/teaseltrack-agent/src/requests/capacity.rs
@@ -348,7 +348,7 @@
     }
 
     async fn tell_fleet(&self, target: Option<Announcement>) {
-        self.node.tell(NodeMessage::Announce(target)).await;
+        self.node.send(NodeMessage::Announce(target)).await;
         let (node, clients) = (self.node.clone(), self.clients.clone());
         tokio::spawn(async move { push_announcement(&node, &clients).await });
     }
--- a/crates/teaseltrack-agent/src/tasks.rs
+++ b/crates/teaseltrack-agent/src/tasks.rs
@@ -32,7 +32,7 @@
                 shards.send(ShardMessage::Report(batch, reply)).await.ok();
                 continue;
             }
-            TaskCall::ReserveRoom(requests, reply) => AttemptMessage::Reserve(requests, reply),
+            TaskCall::ReserveCapacity(requests, reply) => AttemptMessage::Reserve(requests, reply),
             TaskCall::StartTasks(owner, orders, reply) => {
                 AttemptMessage::Start(owner, orders, reply)
             }
--- a/crates/teaseltrack-agent/src/tasks/owner/orders.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/orders.rs
@@ -12,7 +12,7 @@
     task::{Decision, TaskId},
 };
 use teaseltrack_node::{
-    clients::{ControlClients, deadline},
+    clients::{ControlClients, context_with_timeout},
     node::NodeHandle,
 };
 use teaseltrack_wire::control::{ShardOwner, StartOrder, StopOrder};
@@ -120,7 +120,7 @@
     orders: &Orders,
 ) -> Result<(), ErrorKind> {
     let client = clients.client(address).await?;
-    let context = deadline(ORDER_TIMEOUT);
+    let context = context_with_timeout(ORDER_TIMEOUT);
     let answer = match orders {
         Orders::Start(orders) => client.start_tasks(context, owner.clone(), orders.clone()).await,
         Orders::Stop(orders) => client.stop_tasks(context, owner.clone(), orders.clone()).await,
@@ -128,7 +128,7 @@
     match answer {
         Ok(result) => result,
         Err(_) => {
-            clients.forget(address);
+            clients.remove(address);
             Err(ErrorKind::AnswerLost)
         }
     }
--- a/crates/teaseltrack-agent/src/tasks/placer.rs
+++ b/crates/teaseltrack-agent/src/tasks/placer.rs
@@ -17,7 +17,7 @@
     task::{Decision, Placement, TaskId},
 };
 use teaseltrack_node::{
-    clients::{ControlClients, deadline},
+    clients::{ControlClients, context_with_timeout},
     node::NodeHandle,
 };
 use teaseltrack_wire::control::{ReservationRequest, ReservationResponse};
@@ -230,10 +230,10 @@
     requests: Vec<ReservationRequest>,
 ) -> Option<ReservationResponse> {
     let client = clients.client(address).await.ok()?;
-    match client.reserve_room(deadline(ROOM_TIMEOUT), requests).await {
+    match client.reserve_room(context_with_timeout(ROOM_TIMEOUT), requests).await {
         Ok(answer) => answer.ok(),
         Err(_) => {
-            clients.forget(address);
+            clients.remove(address);
             None
         }
     }
--- a/crates/teaseltrack-agent/src/tasks/reporter.rs
+++ b/crates/teaseltrack-agent/src/tasks/reporter.rs
@@ -10,7 +10,7 @@
     placement::Resources,
     shard::stream_of,
 };
-use teaseltrack_node::clients::{ControlClients, deadline};
+use teaseltrack_node::clients::{ControlClients, context_with_timeout};
 use teaseltrack_platform::{
     keys,
     store::{Row, Store},
@@ -132,7 +132,7 @@
                     Err(kind) => {
                         debug!(self.logger, "report not taken"; "shard" => batch.shard,
                             "owner" => %address, "kind" => %kind);
-                        self.clients.forget(address);
+                        self.clients.remove(address);
                         *owner = None;
                     }
                 }
@@ -143,7 +143,7 @@
 
     async fn send(&self, address: SocketAddr, batch: ReportBatch) -> Result<(), ErrorKind> {
         let client = self.clients.client(address).await?;
-        let call = client.report_tasks(deadline(REPORT_TIMEOUT), batch);
+        let call = client.report_tasks(context_with_timeout(REPORT_TIMEOUT), batch);
         call.await.map_err(|_| ErrorKind::AnswerLost)?
     }
 
--- a/crates/teaseltrack-entry/src/entry.rs
+++ b/crates/teaseltrack-entry/src/entry.rs
@@ -19,10 +19,10 @@
     spans::Spans,
 };
 use teaseltrack_node::{
-    gossip::push_news,
+    gossip::push_updates,
     node::NodeMessage,
-    seeds::{SeedRow, keep_seed_row},
-    start::{Common, Identity, open_store, start_common},
+    seeds::{SeedRow, maintain_seed_row},
+    start::{Identity, NodeContext, open_store, start_node},
 };
 use tokio::{
     net::TcpListener,
@@ -62,7 +62,7 @@
 
 /// A running entry.
 pub struct Entry {
-    common: Common,
+    common: NodeContext,
     addresses: EntryAddresses,
     drain_grace: Duration,
     answers: TaskTracker,
@@ -100,7 +100,7 @@
             incarnation: unix_ms(clock.wall_now()),
         };
         let store = open_store(&settings.platform, clock.clone());
-        let common = start_common(
+        let common = start_node(
             identity,
             &settings.control,
             listeners.control,
@@ -114,7 +114,7 @@
             written_at_ms: 0,
         };
         let draining = common.shutdown.draining.clone();
-        let seed_row = tokio::spawn(keep_seed_row(common.store.clone(), seed, draining));
+        let seed_row = tokio::spawn(maintain_seed_row(common.store.clone(), seed, draining));
         tokio::spawn(keep_archiving(
             common.store.clone(),
             settings.instance.name.clone(),
@@ -146,8 +146,8 @@
         let logger = self.common.logger.clone();
         info!(logger, "planned stop begins");
         sleep(self.drain_grace).await;
-        self.common.node.ask(NodeMessage::Leave).await;
-        push_news(&self.common.node, &self.common.clients).await;
+        self.common.node.request(NodeMessage::Leave).await;
+        push_updates(&self.common.node, &self.common.clients).await;
         self.common.shutdown.closing.cancel();
         for server in self.servers {
             drop(timeout(DRAIN_TIMEOUT, server).await);
@@ -178,7 +178,7 @@
 
 fn caller_server(
     settings: &EntrySettings,
-    common: &Common,
+    common: &NodeContext,
     spans: &Spans,
     metrics: &Metrics,
     answers: &TaskTracker,
@@ -199,7 +199,7 @@
 }
 
 /// Drops connections to agents that have gone.
-async fn drop_old_connections(common: Common, connections: AgentConnections) {
+async fn drop_old_connections(common: NodeContext, connections: AgentConnections) {
     let mut members = common.node.watch_members();
     while members.changed().await.is_ok() {
         let present = members.borrow_and_update().clone();
@@ -212,7 +212,7 @@
 
 fn serve_callers(
     settings: &EntrySettings,
-    common: &Common,
+    common: &NodeContext,
     callers: CallerServer,
     listener: TcpListener,
 ) -> JoinHandle<()> {
@@ -223,7 +223,7 @@
     }))
 }
 
-fn serve_operators(common: &Common, listener: TcpListener) -> JoinHandle<()> {
+fn serve_operators(common: &NodeContext, listener: TcpListener) -> JoinHandle<()> {
     let context = CommandContext {
         store: common.store.clone(),
         clock: common.clock.clone(),
@@ -236,7 +236,7 @@
     }))
 }
 
-fn status_report(common: &Common, answers: &TaskTracker) -> StatusReport {
+fn status_report(common: &NodeContext, answers: &TaskTracker) -> StatusReport {
     let (common, answers) = (common.clone(), answers.clone());
     Arc::new(move || {
         let members = common.node.members();
--- a/crates/teaseltrack-entry/src/operators/commands.rs
+++ b/crates/teaseltrack-entry/src/operators/commands.rs
@@ -18,9 +18,9 @@
 };
 use teaseltrack_daemon::problem::Problem;
 use teaseltrack_node::{
-    clients::{ControlClients, deadline},
-    configuration::poll,
-    gossip::push_news,
+    clients::{ControlClients, context_with_timeout},
+    configuration::poll_changes,
+    gossip::push_updates,
     node::NodeHandle,
 };
 use teaseltrack_platform::{
@@ -235,9 +235,9 @@
             let shard = shard_of(&record.name);
             tokio::spawn(async move { context.wake_owner(shard).await });
         }
-        if poll(&self.node, &self.store).await.unwrap_or(false) {
+        if poll_changes(&self.node, &self.store).await.unwrap_or(false) {
             let (node, clients) = (self.node.clone(), self.clients.clone());
-            tokio::spawn(async move { push_news(&node, &clients).await });
+            tokio::spawn(async move { push_updates(&node, &clients).await });
         }
     }
 
@@ -246,8 +246,8 @@
         let head: StreamHead = Row::parse(&row).ok()?;
         let address = head.owner?.control_address.parse().ok()?;
         let client = self.clients.client(address).await.ok()?;
-        if client.wake_shard(deadline(WAKE_TIMEOUT), shard).await.is_err() {
-            self.clients.forget(address);
+        if client.wake_shard(context_with_timeout(WAKE_TIMEOUT), shard).await.is_err() {
+            self.clients.remove(address);
         }
         Some(())
     }
--- a/crates/teaseltrack-node/src/clients.rs
+++ b/crates/teaseltrack-node/src/clients.rs
@@ -62,7 +62,7 @@
     }
 
     /// Drops the client of an address whose call failed.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn remove(&self, address: SocketAddr) {
         self.lock().retain(|(other, _)| *other != address);
     }
 
@@ -94,7 +94,7 @@
 }
 
 /// A call's context with the given time until its deadline.
-pub fn deadline(time: Duration) -> context::Context {
+pub fn context_with_timeout(time: Duration) -> context::Context {
     let mut context = context::current();
     context.deadline = Instant::now() + time;
     context
--- a/crates/teaseltrack-node/src/configuration.rs
+++ b/crates/teaseltrack-node/src/configuration.rs
@@ -19,8 +19,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    clients::{ControlClients, deadline},
-    gossip::push_news,
+    clients::{ControlClients, context_with_timeout},
+    gossip::push_updates,
     node::{NodeHandle, NodeMessage},
 };
 
@@ -41,8 +41,8 @@
     closing: CancellationToken,
 ) {
     loop {
-        match poll(&node, &store).await {
-            Ok(true) => push_news(&node, &clients).await,
+        match poll_changes(&node, &store).await {
+            Ok(true) => push_updates(&node, &clients).await,
             Ok(false) => {}
             Err(error) => warn!(logger, "no look at the store"; "error" => %error),
         }
@@ -63,11 +63,12 @@
     let mut after = node.configuration().revision();
     loop {
         let Ok(client) = clients.connect(address).await else { return false };
-        let Ok(page) = client.changes_after(deadline(FETCH_TIMEOUT), after).await else {
+        let Ok(page) = client.changes_after(context_with_timeout(FETCH_TIMEOUT), after).await
+        else {
             return false;
         };
         let next_after = page.next_after();
-        let is_higher = node.ask(|reply| NodeMessage::Apply(page, reply)).await == Some(true);
+        let is_higher = node.request(|reply| NodeMessage::Apply(page, reply)).await == Some(true);
         match next_after {
             Some(next) => after = next,
             None => return is_higher,
@@ -80,7 +81,7 @@
 /// # Errors
 ///
 /// The store doesn't answer.
-pub async fn poll(node: &NodeHandle, store: &Store) -> Result<bool, StoreError> {
+pub async fn poll_changes(node: &NodeHandle, store: &Store) -> Result<bool, StoreError> {
     let revision = node.configuration().revision();
     let row = store.read(&keys::head(CONFIGURATION_STREAM)).await?;
     let head: StreamHead = row.as_ref().map(Row::parse).transpose()?.unwrap_or_default();
@@ -92,7 +93,7 @@
     } else {
         read_after(store, revision).await?
     };
-    Ok(node.ask(|reply| NodeMessage::Apply(page, reply)).await == Some(true))
+    Ok(node.request(|reply| NodeMessage::Apply(page, reply)).await == Some(true))
 }
 
 async fn read_all(store: &Store, through_revision: Revision) -> Result<ChangePage, StoreError> {
--- a/crates/teaseltrack-node/src/control_server.rs
+++ b/crates/teaseltrack-node/src/control_server.rs
@@ -43,7 +43,10 @@
     /// The shard's inbox holds something new.
     WakeShard(ShardNumber),
     /// Room is asked for.
-    ReserveRoom(Vec<ReservationRequest>, oneshot::Sender<Result<ReservationResponse, ErrorKind>>),
+    ReserveCapacity(
+        Vec<ReservationRequest>,
+        oneshot::Sender<Result<ReservationResponse, ErrorKind>>,
+    ),
     /// Committed assignments are to start.
     StartTasks(ShardOwner, Vec<StartOrder>, oneshot::Sender<Result<(), ErrorKind>>),
     /// Attempts are to stop.
@@ -75,7 +78,7 @@
 impl Control for ControlServer {
     async fn probe(self, _: Context, gossip: Gossip) -> Gossip {
         let fallback = gossip.clone();
-        self.node.ask(|reply| NodeMessage::Probed(gossip, reply)).await.unwrap_or(fallback)
+        self.node.request(|reply| NodeMessage::Probed(gossip, reply)).await.unwrap_or(fallback)
     }
 
     async fn probe_through(self, _: Context, control_address: String) -> bool {
@@ -84,11 +87,14 @@
     }
 
     async fn exchange(self, _: Context, digest: Digest) -> Vec<Member> {
-        self.node.ask(|reply| NodeMessage::Exchange(digest, reply)).await.unwrap_or_default()
+        self.node.request(|reply| NodeMessage::Exchange(digest, reply)).await.unwrap_or_default()
     }
 
     async fn changes_after(self, _: Context, revision: Revision) -> ChangePage {
-        self.node.ask(|reply| NodeMessage::ChangesAfter(revision, reply)).await.unwrap_or_default()
+        self.node
+            .request(|reply| NodeMessage::ChangesAfter(revision, reply))
+            .await
+            .unwrap_or_default()
     }
 
     async fn wake_shard(self, _: Context, shard: ShardNumber) {
@@ -102,7 +108,7 @@
         _: Context,
         requests: Vec<ReservationRequest>,
     ) -> Result<ReservationResponse, ErrorKind> {
-        self.ask_tasks(|reply| TaskCall::ReserveRoom(requests, reply)).await
+        self.ask_tasks(|reply| TaskCall::ReserveCapacity(requests, reply)).await
     }
 
     async fn start_tasks(
--- a/crates/teaseltrack-node/src/gossip.rs
+++ b/crates/teaseltrack-node/src/gossip.rs
@@ -13,7 +13,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    clients::{ControlClients, deadline},
+    clients::{ControlClients, context_with_timeout},
     configuration::fetch_from_peer,
     node::{NodeHandle, NodeMessage},
 };
@@ -46,7 +46,7 @@
             () = sleep(period.mul_f64(share)) => {}
             () = closing.cancelled() => return,
         }
-        let peer = node.ask(NodeMessage::NextProbe).await.flatten();
+        let peer = node.request(NodeMessage::NextProbe).await.flatten();
         if let Some(peer) = peer {
             tokio::spawn(probe_member(node.clone(), clients.clone(), peer));
         }
@@ -54,7 +54,7 @@
 }
 
 /// Tells a few random peers of what is new here.
-pub async fn push_news(node: &NodeHandle, clients: &ControlClients) {
+pub async fn push_updates(node: &NodeHandle, clients: &ControlClients) {
     let peers = sample(node, PUSH_PEERS, InstanceId::new()).await;
     join_all(peers.into_iter().map(|peer| probe_member(node.clone(), clients.clone(), peer))).await;
 }
@@ -65,7 +65,7 @@
     let entries = members.iter().filter(|member| member.role == Role::Entry).take(MAX_ENTRIES);
     let told = entries.map(|entry| probe_member(node.clone(), clients.clone(), entry.clone()));
     join_all(told).await;
-    push_news(node, clients).await;
+    push_updates(node, clients).await;
 }
 
 /// Probes an address and follows up on what it knows; true if it answered.
@@ -75,7 +75,7 @@
     address: SocketAddr,
 ) -> bool {
     let Some(gossip) = probe_once(node, clients, address).await else { return false };
-    let follow_up = node.ask(|reply| NodeMessage::ProbeAnswered(gossip, reply)).await;
+    let follow_up = node.request(|reply| NodeMessage::ProbeAnswered(gossip, reply)).await;
     let Some(follow_up) = follow_up else { return false };
     if follow_up.is_exchange_due {
         exchange(node, clients, address).await;
@@ -101,7 +101,7 @@
 async fn fetch_and_push(node: &NodeHandle, clients: &ControlClients, address: SocketAddr) {
     if fetch_from_peer(node, clients, address).await {
         let (node, clients) = (node.clone(), clients.clone());
-        tokio::spawn(async move { Box::pin(push_news(&node, &clients)).await });
+        tokio::spawn(async move { Box::pin(push_updates(&node, &clients)).await });
     }
 }
 
@@ -125,7 +125,7 @@
             return;
         }
         if !is_reachable_through_others(&node, &clients, &peer).await {
-            node.tell(NodeMessage::Unanswered(peer.instance)).await;
+            node.send(NodeMessage::Unanswered(peer.instance)).await;
         }
     })
 }
@@ -135,16 +135,16 @@
     clients: &ControlClients,
     address: SocketAddr,
 ) -> Option<Gossip> {
-    let gossip = node.ask(NodeMessage::Gossip).await?;
+    let gossip = node.request(NodeMessage::Gossip).await?;
     let client = clients.connect(address).await.ok()?;
-    client.probe(deadline(PROBE_TIMEOUT), gossip).await.ok()
+    client.probe(context_with_timeout(PROBE_TIMEOUT), gossip).await.ok()
 }
 
 async fn exchange(node: &NodeHandle, clients: &ControlClients, address: SocketAddr) {
-    let Some(digest) = node.ask(NodeMessage::Digest).await else { return };
+    let Some(digest) = node.request(NodeMessage::Digest).await else { return };
     let Ok(client) = clients.connect(address).await else { return };
-    if let Ok(members) = client.exchange(deadline(INDIRECT_TIMEOUT), digest).await {
-        node.tell(NodeMessage::Merge(members)).await;
+    if let Ok(members) = client.exchange(context_with_timeout(INDIRECT_TIMEOUT), digest).await {
+        node.send(NodeMessage::Merge(members)).await;
     }
 }
 
@@ -157,12 +157,13 @@
     let answers = helpers.into_iter().map(|helper| async move {
         let address = helper.control_address.parse().ok()?;
         let client = clients.connect(address).await.ok()?;
-        let call = client.probe_through(deadline(INDIRECT_TIMEOUT), peer.control_address.clone());
+        let call = client
+            .probe_through(context_with_timeout(INDIRECT_TIMEOUT), peer.control_address.clone());
         call.await.ok()
     });
     join_all(answers).await.into_iter().flatten().any(|is_reachable| is_reachable)
 }
 
 async fn sample(node: &NodeHandle, count: usize, except: InstanceId) -> Vec<Member> {
-    node.ask(|reply| NodeMessage::Sample(count, except, reply)).await.unwrap_or_default()
+    node.request(|reply| NodeMessage::Sample(count, except, reply)).await.unwrap_or_default()
 }
--- a/crates/teaseltrack-node/src/node.rs
+++ b/crates/teaseltrack-node/src/node.rs
@@ -77,12 +77,12 @@
 
 impl NodeHandle {
     /// Sends a message.
-    pub async fn tell(&self, message: NodeMessage) {
+    pub async fn send(&self, message: NodeMessage) {
         drop(self.sender.send(message).await);
     }
 
     /// Sends a message and waits for the reply; `None` when the task has ended.
-    pub async fn ask<T>(
+    pub async fn request<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> NodeMessage,
     ) -> Option<T> {
--- a/crates/teaseltrack-node/src/seeds.rs
+++ b/crates/teaseltrack-node/src/seeds.rs
@@ -80,7 +80,7 @@
 }
 
 /// Keeps an entry's row fresh until `closing` is cancelled, then deletes it.
-pub async fn keep_seed_row(store: Store, mut row: SeedRow, closing: CancellationToken) {
+pub async fn maintain_seed_row(store: Store, mut row: SeedRow, closing: CancellationToken) {
     let key = keys::seed(&row.instance);
     loop {
         row.written_at_ms = unix_ms(std::time::SystemTime::now());
--- a/crates/teaseltrack-node/src/start.rs
+++ b/crates/teaseltrack-node/src/start.rs
@@ -29,7 +29,7 @@
 
 /// What every process shares between its tasks.
 #[derive(Clone)]
-pub struct Common {
+pub struct NodeContext {
     /// Logs.
     pub logger: Logger,
     /// Clock.
@@ -72,14 +72,14 @@
 }
 
 /// Starts the node with its gossip, configuration and control port.
-pub fn start_common(
+pub fn start_node(
     identity: Identity,
     settings: &ControlSettings,
     listener: TcpListener,
     store: Store,
     tasks: Option<mpsc::Sender<TaskCall>>,
     (logger, clock, shutdown): (Logger, SharedClock, Shutdown),
-) -> Common {
+) -> NodeContext {
     let is_entry = identity.role == Role::Entry;
     let control_address = identity.control_address;
     let (ahead, ahead_receiver) = mpsc::channel(AHEAD_PEERS);
@@ -119,7 +119,7 @@
         logger.clone(),
         closing,
     ));
-    Common { logger, clock, store, node, clients, control_bytes, shutdown }
+    NodeContext { logger, clock, store, node, clients, control_bytes, shutdown }
 }
 
 fn member_of(identity: Identity) -> Member {
