--- a/crates/teaseltrack-node/src/clients.rs
+++ b/crates/teaseltrack-node/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of control calls, a bounded number of which stay connected.
+//! Client connections for control calls, with a bounded LRU cache.
 
 use std::{
     collections::VecDeque,
@@ -15,12 +15,12 @@
 use tokio_serde::formats::MessagePack;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Clients that stay connected.
-const MAX_CLIENTS: usize = 24;
-/// Time to connect.
+/// Maximum number of cached clients.
+const MAX_CACHED_CLIENTS: usize = 24;
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Clients by address, most lately used last.
+/// Cache of connected clients by address, most recently used last.
 #[derive(Clone, Debug)]
 pub struct ControlClients {
     clients: Arc<Mutex<VecDeque<(SocketAddr, ControlClient)>>>,
@@ -28,26 +28,26 @@
 }
 
 impl ControlClients {
-    /// No clients yet; the bytes of all are counted in `bytes`.
+    /// Creates an empty cache; the bytes transferred by all clients are counted in `bytes`.
     pub fn new(bytes: Arc<ByteCount>) -> Self {
         Self { clients: Arc::default(), bytes }
     }
 
-    /// A connected client.
+    /// Returns the cached client of an address, or connects one and caches it.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::Unreachable`]: no connection could be made.
     pub async fn client(&self, address: SocketAddr) -> Result<ControlClient, ErrorKind> {
-        if let Some(client) = self.take_connected(address) {
+        if let Some(client) = self.cached_client(address) {
             return Ok(client);
         }
         let client = self.connect(address).await?;
-        self.keep(address, client.clone());
+        self.insert(address, client.clone());
         Ok(client)
     }
 
-    /// A client that isn't kept.
+    /// Connects a client that isn't cached.
     ///
     /// # Errors
     ///
@@ -61,12 +61,12 @@
         Ok(ControlClient::new(client::Config::default(), transport).spawn())
     }
 
-    /// Drops the client of an address whose call failed.
+    /// Removes the client of an address from the cache, after a failed call.
     pub fn remove(&self, address: SocketAddr) {
         self.lock().retain(|(other, _)| *other != address);
     }
 
-    fn take_connected(&self, address: SocketAddr) -> Option<ControlClient> {
+    fn cached_client(&self, address: SocketAddr) -> Option<ControlClient> {
         let mut clients = self.lock();
         let index = clients.iter().position(|(other, _)| *other == address)?;
         let entry = clients.remove(index)?;
@@ -75,10 +75,10 @@
         Some(client)
     }
 
-    fn keep(&self, address: SocketAddr, client: ControlClient) {
+    fn insert(&self, address: SocketAddr, client: ControlClient) {
         let mut clients = self.lock();
         clients.push_back((address, client));
-        if clients.len() > MAX_CLIENTS {
+        if clients.len() > MAX_CACHED_CLIENTS {
             clients.pop_front();
         }
     }
@@ -88,14 +88,14 @@
     }
 }
 
-/// The frames of control calls.
+/// Length-delimited framing of control calls.
 pub fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec()
 }
 
-/// A call's context with the given time until its deadline.
-pub fn context_with_timeout(time: Duration) -> context::Context {
+/// Context of a call that times out after `timeout`.
+pub fn context_with_timeout(timeout: Duration) -> context::Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + time;
+    context.deadline = Instant::now() + timeout;
     context
 }
--- a/crates/teaseltrack-node/src/configuration.rs
+++ b/crates/teaseltrack-node/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Fetching configuration changes, from the store and from peers.
+//! Fetches configuration changes from the store and from peers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -24,15 +24,16 @@
     node::{NodeHandle, NodeMessage},
 };
 
-/// Time for a peer to hand over changes.
+/// Timeout of a request for a page of a peer's changes.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Revisions behind which all records are read anew.
-const MAX_CATCH_UP: Revision = 200;
-/// Kinds of records that are in force at every process.
-const KINDS_IN_FORCE: [RecordKind; 3] = [RecordKind::Service, RecordKind::Team, RecordKind::Watch];
+/// Maximum revisions to catch up on from the journal; further behind, all records are listed.
+const MAX_INCREMENTAL_REVISIONS: Revision = 200;
+/// Kinds of records that belong to the configuration of every process.
+const CONFIGURATION_KINDS: [RecordKind; 3] =
+    [RecordKind::Service, RecordKind::Team, RecordKind::Watch];
 
-/// Looks at the store for changes every period until `closing` is cancelled.
-pub async fn run_configuration(
+/// Polls the store for changes until `closing` is cancelled; the period is jittered by 20%.
+pub async fn run_configuration_polling(
     node: NodeHandle,
     clients: ControlClients,
     store: Store,
@@ -44,17 +45,20 @@
         match poll_changes(&node, &store).await {
             Ok(true) => push_updates(&node, &clients).await,
             Ok(false) => {}
-            Err(error) => warn!(logger, "no look at the store"; "error" => %error),
+            Err(error) => {
+                warn!(logger, "polling the store for configuration changes failed"; "error" => %error)
+            }
         }
         let wait = period.mul_f64(rand::rng().random_range(0.8..1.2));
         tokio::select! {
-            () = sleep(wait) => debug!(logger, "looking for configuration changes"),
+            () = sleep(wait) => debug!(logger, "polling the store for configuration changes"),
             () = closing.cancelled() => return,
         }
     }
 }
 
-/// Fetches and applies what the peer has in force beyond this instance; true if that was anything.
+/// Fetches and applies the changes that a peer has and this instance lacks; true if the active
+/// revision increased.
 pub async fn fetch_from_peer(
     node: &NodeHandle,
     clients: &ControlClients,
@@ -76,11 +80,12 @@
     }
 }
 
-/// Reads and applies what came since the revision in force; true if that was anything.
+/// Reads and applies the changes stored after the active revision; true if the active revision
+/// increased.
 ///
 /// # Errors
 ///
-/// The store doesn't answer.
+/// The store is unavailable, or a row or entry can't be parsed.
 pub async fn poll_changes(node: &NodeHandle, store: &Store) -> Result<bool, StoreError> {
     let revision = node.configuration().revision();
     let row = store.read(&keys::head(CONFIGURATION_STREAM)).await?;
@@ -88,7 +93,7 @@
     if head.sequence <= revision {
         return Ok(false);
     }
-    let page = if revision == 0 || head.sequence - revision > MAX_CATCH_UP {
+    let page = if revision == 0 || head.sequence - revision > MAX_INCREMENTAL_REVISIONS {
         read_all(store, head.sequence).await?
     } else {
         read_after(store, revision).await?
@@ -98,7 +103,7 @@
 
 async fn read_all(store: &Store, through_revision: Revision) -> Result<ChangePage, StoreError> {
     let mut records: Vec<Record> = Vec::new();
-    for kind in KINDS_IN_FORCE {
+    for kind in CONFIGURATION_KINDS {
         for row in store.list_all(&keys::records(kind)).await? {
             records.push(row.parse()?);
         }
--- a/crates/teaseltrack-node/src/control_server.rs
+++ b/crates/teaseltrack-node/src/control_server.rs
@@ -1,4 +1,4 @@
-//! The receiving end of control calls: each becomes a message to the task that owns the state.
+//! Server of control calls: each call is forwarded as a message to the task that owns the state.
 
 use std::{sync::Arc, time::Duration};
 
@@ -32,30 +32,30 @@
     node::{NodeHandle, NodeMessage},
 };
 
-/// Control connections at once.
+/// Maximum concurrent control connections.
 const MAX_CONNECTIONS: usize = 512;
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before retrying after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A control call about tasks, for the agent's tasks.
+/// Control call about tasks, forwarded to the agent's task manager.
 #[derive(Debug)]
 pub enum TaskCall {
-    /// The shard's inbox holds something new.
+    /// The shard's inbox has new commands.
     WakeShard(ShardNumber),
-    /// Room is asked for.
+    /// Reserves capacity for attempts.
     ReserveCapacity(
         Vec<ReservationRequest>,
         oneshot::Sender<Result<ReservationResponse, ErrorKind>>,
     ),
-    /// Committed assignments are to start.
+    /// Starts committed assignments.
     StartTasks(ShardOwner, Vec<StartOrder>, oneshot::Sender<Result<(), ErrorKind>>),
-    /// Attempts are to stop.
+    /// Stops attempts.
     StopTasks(ShardOwner, Vec<StopOrder>, oneshot::Sender<Result<(), ErrorKind>>),
-    /// An agent reports events to a shard owned here.
+    /// Reports attempts' events to a shard owned by this instance.
     ReportTasks(ReportBatch, oneshot::Sender<Result<(), ErrorKind>>),
 }
 
-/// Receiver of control calls.
+/// Implementation of the control calls.
 #[derive(Clone, Debug)]
 struct ControlServer {
     node: NodeHandle,
@@ -64,21 +64,24 @@
 }
 
 impl ControlServer {
-    async fn ask_tasks<T>(
+    async fn forward<T>(
         &self,
         call: impl FnOnce(oneshot::Sender<Result<T, ErrorKind>>) -> TaskCall,
     ) -> Result<T, ErrorKind> {
         let tasks = self.tasks.as_ref().ok_or(ErrorKind::NotFound)?;
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         tasks.send(call(reply)).await.map_err(|_| ErrorKind::Draining)?;
-        answer.await.map_err(|_| ErrorKind::Draining)?
+        response.await.map_err(|_| ErrorKind::Draining)?
     }
 }
 
 impl Control for ControlServer {
     async fn probe(self, _: Context, gossip: Gossip) -> Gossip {
         let fallback = gossip.clone();
-        self.node.request(|reply| NodeMessage::Probed(gossip, reply)).await.unwrap_or(fallback)
+        self.node
+            .request(|reply| NodeMessage::ProbeReceived(gossip, reply))
+            .await
+            .unwrap_or(fallback)
     }
 
     async fn probe_through(self, _: Context, control_address: String) -> bool {
@@ -108,7 +111,7 @@
         _: Context,
         requests: Vec<ReservationRequest>,
     ) -> Result<ReservationResponse, ErrorKind> {
-        self.ask_tasks(|reply| TaskCall::ReserveCapacity(requests, reply)).await
+        self.forward(|reply| TaskCall::ReserveCapacity(requests, reply)).await
     }
 
     async fn start_tasks(
@@ -117,7 +120,7 @@
         owner: ShardOwner,
         orders: Vec<StartOrder>,
     ) -> Result<(), ErrorKind> {
-        self.ask_tasks(|reply| TaskCall::StartTasks(owner, orders, reply)).await
+        self.forward(|reply| TaskCall::StartTasks(owner, orders, reply)).await
     }
 
     async fn stop_tasks(
@@ -126,11 +129,11 @@
         owner: ShardOwner,
         orders: Vec<StopOrder>,
     ) -> Result<(), ErrorKind> {
-        self.ask_tasks(|reply| TaskCall::StopTasks(owner, orders, reply)).await
+        self.forward(|reply| TaskCall::StopTasks(owner, orders, reply)).await
     }
 
     async fn report_tasks(self, _: Context, batch: ReportBatch) -> Result<(), ErrorKind> {
-        self.ask_tasks(|reply| TaskCall::ReportTasks(batch, reply)).await
+        self.forward(|reply| TaskCall::ReportTasks(batch, reply)).await
     }
 }
 
@@ -151,7 +154,7 @@
             () = closing.cancelled() => return,
         };
         let Ok((stream, _)) = accepted else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
--- a/crates/teaseltrack-node/src/gossip.rs
+++ b/crates/teaseltrack-node/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Probes of random peers.
+//! Gossip between instances: periodic probes of random peers, and immediate pushes of updates.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,22 +18,22 @@
     node::{NodeHandle, NodeMessage},
 };
 
-/// Time for a peer to answer a probe.
+/// Timeout of a direct probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a peer to answer a probe through others.
+/// Timeout of an indirect probe and of an anti-entropy exchange.
 const INDIRECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Peers asked to probe one that didn't answer.
+/// Number of peers that are requested to probe a peer that failed a direct probe.
 const INDIRECT_PROBES: usize = 2;
-/// Peers told at once of a configuration change or a departure.
+/// Number of random peers to which an update is pushed.
 const PUSH_PEERS: usize = 3;
-/// Entries told at once of a target that came or went.
-const MAX_ENTRIES: usize = 16;
-/// Least share of the probe period between two probes.
-const MIN_PERIOD_SHARE: f64 = 0.8;
-/// Largest share of the probe period between two probes.
-const MAX_PERIOD_SHARE: f64 = 1.2;
-
-/// Probes a random peer every period until `closing` is cancelled.
+/// Maximum number of entries to which a change of this instance's target is pushed.
+const MAX_PUSH_ENTRIES: usize = 16;
+/// Minimum factor applied to the probe period.
+const MIN_JITTER_FACTOR: f64 = 0.8;
+/// Maximum factor applied to the probe period.
+const MAX_JITTER_FACTOR: f64 = 1.2;
+
+/// Probes a random peer per jittered period until `closing` is cancelled.
 pub async fn run_gossip(
     node: NodeHandle,
     clients: ControlClients,
@@ -41,9 +41,9 @@
     closing: CancellationToken,
 ) {
     loop {
-        let share = rand::rng().random_range(MIN_PERIOD_SHARE..MAX_PERIOD_SHARE);
+        let jitter = rand::rng().random_range(MIN_JITTER_FACTOR..MAX_JITTER_FACTOR);
         tokio::select! {
-            () = sleep(period.mul_f64(share)) => {}
+            () = sleep(period.mul_f64(jitter)) => {}
             () = closing.cancelled() => return,
         }
         let peer = node.request(NodeMessage::NextProbe).await.flatten();
@@ -53,29 +53,30 @@
     }
 }
 
-/// Tells a few random peers of what is new here.
+/// Pushes pending updates to a few random peers, by probing them.
 pub async fn push_updates(node: &NodeHandle, clients: &ControlClients) {
     let peers = sample(node, PUSH_PEERS, InstanceId::new()).await;
     join_all(peers.into_iter().map(|peer| probe_member(node.clone(), clients.clone(), peer))).await;
 }
 
-/// Tells all entries, and a few random peers, of what became of this instance's target.
+/// Pushes a change of this instance's target to the entries and a few random peers.
 pub async fn push_announcement(node: &NodeHandle, clients: &ControlClients) {
     let members = node.members();
-    let entries = members.iter().filter(|member| member.role == Role::Entry).take(MAX_ENTRIES);
-    let told = entries.map(|entry| probe_member(node.clone(), clients.clone(), entry.clone()));
-    join_all(told).await;
+    let entries = members.iter().filter(|member| member.role == Role::Entry).take(MAX_PUSH_ENTRIES);
+    let probes = entries.map(|entry| probe_member(node.clone(), clients.clone(), entry.clone()));
+    join_all(probes).await;
     push_updates(node, clients).await;
 }
 
-/// Probes an address and follows up on what it knows; true if it answered.
+/// Probes an address, then exchanges members or fetches changes where the response shows a
+/// difference; true if the peer responded.
 pub async fn probe_address(
     node: &NodeHandle,
     clients: &ControlClients,
     address: SocketAddr,
 ) -> bool {
     let Some(gossip) = probe_once(node, clients, address).await else { return false };
-    let follow_up = node.request(|reply| NodeMessage::ProbeAnswered(gossip, reply)).await;
+    let follow_up = node.request(|reply| NodeMessage::ProbeAcknowledged(gossip, reply)).await;
     let Some(follow_up) = follow_up else { return false };
     if follow_up.is_exchange_due {
         exchange(node, clients, address).await;
@@ -86,18 +87,18 @@
     true
 }
 
-/// Fetches changes from peers that probed this instance and have a higher revision in force.
-pub async fn follow_peers(
+/// Fetches changes from peers whose probes showed a higher active revision.
+pub async fn fetch_from_ahead_peers(
     node: NodeHandle,
     clients: ControlClients,
-    mut ahead: mpsc::Receiver<SocketAddr>,
+    mut peers_ahead: mpsc::Receiver<SocketAddr>,
 ) {
-    while let Some(address) = ahead.recv().await {
+    while let Some(address) = peers_ahead.recv().await {
         fetch_and_push(&node, &clients, address).await;
     }
 }
 
-/// Fetches what a peer has in force, and tells others if it was new here.
+/// Fetches a peer's changes, and pushes them on if the active revision increased.
 async fn fetch_and_push(node: &NodeHandle, clients: &ControlClients, address: SocketAddr) {
     if fetch_from_peer(node, clients, address).await {
         let (node, clients) = (node.clone(), clients.clone());
@@ -105,7 +106,7 @@
     }
 }
 
-/// Whether an address answers a probe.
+/// Whether an address responds to a direct probe.
 pub async fn is_reachable(
     node: &NodeHandle,
     clients: &ControlClients,
@@ -125,7 +126,7 @@
             return;
         }
         if !is_reachable_through_others(&node, &clients, &peer).await {
-            node.send(NodeMessage::Unanswered(peer.instance)).await;
+            node.send(NodeMessage::ProbeFailed(peer.instance)).await;
         }
     })
 }
@@ -154,16 +155,16 @@
     peer: &Member,
 ) -> bool {
     let helpers = sample(node, INDIRECT_PROBES, peer.instance.clone()).await;
-    let answers = helpers.into_iter().map(|helper| async move {
+    let responses = helpers.into_iter().map(|helper| async move {
         let address = helper.control_address.parse().ok()?;
         let client = clients.connect(address).await.ok()?;
         let call = client
             .probe_through(context_with_timeout(INDIRECT_TIMEOUT), peer.control_address.clone());
         call.await.ok()
     });
-    join_all(answers).await.into_iter().flatten().any(|is_reachable| is_reachable)
+    join_all(responses).await.into_iter().flatten().any(|is_reachable| is_reachable)
 }
 
-async fn sample(node: &NodeHandle, count: usize, except: InstanceId) -> Vec<Member> {
-    node.request(|reply| NodeMessage::Sample(count, except, reply)).await.unwrap_or_default()
+async fn sample(node: &NodeHandle, count: usize, excluded: InstanceId) -> Vec<Member> {
+    node.request(|reply| NodeMessage::Sample(count, excluded, reply)).await.unwrap_or_default()
 }
--- a/crates/teaseltrack-node/src/lib.rs
+++ b/crates/teaseltrack-node/src/lib.rs
@@ -1,8 +1,9 @@
-//! What entries and agents share: membership, configuration and control calls.
+//! Functions shared by entries and agents: membership, configuration and control calls.
 //!
-//! [`node`] is the task that owns the membership and the configuration in force and publishes both.
-//! [`gossip`] probes peers, [`configuration`] fetches changes from the store and from peers,
-//! [`clients`] and [`control_server`] are the two ends of the control calls.
+//! [`node`] is the task that owns the membership and the active configuration and publishes both.
+//! [`gossip`] probes peers, [`seeds`] finds the first ones, and [`configuration`] fetches changes
+//! from the store and from peers. [`clients`] and [`control_server`] are the two ends of the control
+//! calls, and [`start`] starts all of these tasks.
 
 pub mod clients;
 pub mod configuration;
--- a/crates/teaseltrack-node/src/node.rs
+++ b/crates/teaseltrack-node/src/node.rs
@@ -1,4 +1,4 @@
-//! The task that owns the membership and the configuration in force.
+//! Task that owns the membership and the active configuration.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,56 +18,57 @@
     time::{MissedTickBehavior, interval},
 };
 
-/// Messages that may wait for the task.
-const INBOX_MESSAGES: usize = 1_024;
-/// Time between publications of a changed membership.
+/// Capacity of the task's message channel.
+const INBOX_CAPACITY: usize = 1_024;
+/// Interval at which a changed membership is published.
 const PUBLISH_PERIOD: Duration = Duration::from_millis(50);
-/// Records of one page of changes.
-const PAGE_RECORDS: usize = 200;
-/// Probes in a row with a differing digest before members are exchanged.
-const MISMATCHES_BEFORE_EXCHANGE: u32 = 3;
+/// Maximum number of records in one page of changes.
+const MAX_PAGE_RECORDS: usize = 200;
+/// Number of consecutive acknowledged probes with a differing digest that triggers an exchange of
+/// members.
+const EXCHANGE_THRESHOLD: u32 = 3;
 
-/// A message to the node's task.
+/// Message to the node's task.
 #[derive(Debug)]
 pub enum NodeMessage {
-    /// A peer probed this instance.
-    Probed(Gossip, oneshot::Sender<Gossip>),
-    /// What this instance would say in a probe.
+    /// Processes a peer's probe; replies with its acknowledgement.
+    ProbeReceived(Gossip, oneshot::Sender<Gossip>),
+    /// Returns the message for a probe of a peer.
     Gossip(oneshot::Sender<Gossip>),
-    /// A peer answered a probe; replies with what to do next.
-    ProbeAnswered(Gossip, oneshot::Sender<FollowUp>),
-    /// A peer answered neither directly nor through others.
-    Unanswered(String),
-    /// The next peer to probe.
+    /// Processes a peer's acknowledgement of a probe; replies with the actions to take.
+    ProbeAcknowledged(Gossip, oneshot::Sender<FollowUp>),
+    /// The named peer responded to neither direct nor indirect probes.
+    ProbeFailed(String),
+    /// Returns the next peer to probe.
     NextProbe(oneshot::Sender<Option<Member>>),
-    /// Random peers other than the named one.
+    /// Returns up to the given number of random peers, without the named one.
     Sample(usize, String, oneshot::Sender<Vec<Member>>),
-    /// The digest of all members.
+    /// Returns the digest of all members.
     Digest(oneshot::Sender<Digest>),
-    /// Members where a peer's digest differs.
+    /// Returns the members in the buckets where a peer's digest differs.
     Exchange(Digest, oneshot::Sender<Vec<Member>>),
-    /// Members that a peer handed over.
+    /// Merges members received from a peer.
     Merge(Vec<Member>),
-    /// Configuration changes after a revision.
+    /// Returns a page of the configuration changes after a revision.
     ChangesAfter(Revision, oneshot::Sender<ChangePage>),
-    /// Changes from the store or a peer; replies whether the revision went up.
+    /// Applies changes from the store or a peer; replies whether the active revision increased.
     Apply(ChangePage, oneshot::Sender<bool>),
-    /// This instance's target came, changed or went.
+    /// Sets or removes the target that this instance advertises.
     Announce(Option<Announcement>),
-    /// This instance stops.
+    /// Marks this instance as departed, for a graceful shutdown.
     Leave(oneshot::Sender<()>),
 }
 
-/// What to do after a peer answered a probe.
+/// Actions to take after a peer acknowledged a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowUp {
-    /// Members are to be exchanged.
+    /// Members must be exchanged with the peer.
     pub is_exchange_due: bool,
-    /// The peer has a higher revision in force.
+    /// The peer has a higher active revision.
     pub is_peer_ahead: bool,
 }
 
-/// Sender to the node's task and receiver of what it publishes, cheap to clone.
+/// Handle to the node's task and to the state that it publishes; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct NodeHandle {
     sender: mpsc::Sender<NodeMessage>,
@@ -81,32 +82,32 @@
         drop(self.sender.send(message).await);
     }
 
-    /// Sends a message and waits for the reply; `None` when the task has ended.
+    /// Sends a message and waits for the reply; `None` if the task has ended.
     pub async fn request<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> NodeMessage,
     ) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.sender.send(message(reply)).await.ok()?;
-        answer.await.ok()
+        response.await.ok()
     }
 
-    /// Members that may get work, as last published.
+    /// Last published members that are alive or suspect.
     pub fn members(&self) -> Arc<Vec<Member>> {
         self.members.borrow().clone()
     }
 
-    /// Receiver of members.
+    /// Subscribes to the published members.
     pub fn watch_members(&self) -> watch::Receiver<Arc<Vec<Member>>> {
         self.members.clone()
     }
 
-    /// The configuration in force.
+    /// Last published active configuration.
     pub fn configuration(&self) -> Arc<Configuration> {
         self.configuration.borrow().clone()
     }
 
-    /// Receiver of the configuration.
+    /// Subscribes to the published configuration.
     pub fn watch_configuration(&self) -> watch::Receiver<Arc<Configuration>> {
         self.configuration.clone()
     }
@@ -117,33 +118,34 @@
     clock: SharedClock,
     membership: Membership,
     configuration: Configuration,
-    mismatches: u32,
-    ahead: mpsc::Sender<SocketAddr>,
+    digest_mismatches: u32,
+    peers_ahead: mpsc::Sender<SocketAddr>,
     published_version: u64,
     members: watch::Sender<Arc<Vec<Member>>>,
-    in_force: watch::Sender<Arc<Configuration>>,
+    published_configuration: watch::Sender<Arc<Configuration>>,
 }
 
-/// Starts the node's task; `ahead` gets the addresses of peers that probed and have a higher revision.
+/// Starts the node's task; `peers_ahead` receives the addresses of peers whose probes showed a higher
+/// active revision.
 pub fn spawn_node(
-    own: Member,
+    local: Member,
     clock: SharedClock,
     logger: Logger,
-    ahead: mpsc::Sender<SocketAddr>,
+    peers_ahead: mpsc::Sender<SocketAddr>,
 ) -> NodeHandle {
-    let (sender, receiver) = mpsc::channel(INBOX_MESSAGES);
-    let (members, members_receiver) = watch::channel(Arc::new(vec![own.clone()]));
-    let (in_force, configuration) = watch::channel(Arc::default());
+    let (sender, receiver) = mpsc::channel(INBOX_CAPACITY);
+    let (members, members_receiver) = watch::channel(Arc::new(vec![local.clone()]));
+    let (published_configuration, configuration) = watch::channel(Arc::default());
     let task = NodeTask {
         logger,
-        membership: Membership::new(own, clock.now()),
+        membership: Membership::new(local, clock.now()),
         clock,
         configuration: Configuration::default(),
-        mismatches: 0,
-        ahead,
+        digest_mismatches: 0,
+        peers_ahead,
         published_version: 0,
         members,
-        in_force,
+        published_configuration,
     };
     tokio::spawn(task.run(receiver));
     NodeHandle { sender, members: members_receiver, configuration }
@@ -169,24 +171,24 @@
 
     fn handle(&mut self, message: NodeMessage) {
         match message {
-            NodeMessage::Probed(gossip, reply) => {
-                self.take_in(&gossip);
-                self.note_if_ahead(&gossip);
+            NodeMessage::ProbeReceived(gossip, reply) => {
+                self.merge_gossip(&gossip);
+                self.enqueue_if_ahead(&gossip);
                 drop(reply.send(self.gossip()));
             }
             NodeMessage::Gossip(reply) => drop(reply.send(self.gossip())),
-            NodeMessage::ProbeAnswered(gossip, reply) => {
-                self.take_in(&gossip);
+            NodeMessage::ProbeAcknowledged(gossip, reply) => {
+                self.merge_gossip(&gossip);
                 reply.send(self.follow_up(&gossip)).ok();
             }
-            NodeMessage::Unanswered(instance) => {
+            NodeMessage::ProbeFailed(instance) => {
                 self.membership.suspect(&instance, self.clock.now());
             }
             NodeMessage::NextProbe(reply) => {
                 drop(reply.send(self.membership.next_probe(&mut rand::rng())));
             }
-            NodeMessage::Sample(count, except, reply) => {
-                drop(reply.send(self.membership.sample(count, &except, &mut rand::rng())));
+            NodeMessage::Sample(count, excluded, reply) => {
+                drop(reply.send(self.membership.sample(count, &excluded, &mut rand::rng())));
             }
             NodeMessage::Digest(reply) => drop(reply.send(self.membership.digest())),
             NodeMessage::Exchange(digest, reply) => {
@@ -196,17 +198,17 @@
             }
             NodeMessage::Merge(members) => self.membership.merge(members, self.clock.now()),
             NodeMessage::ChangesAfter(revision, reply) => {
-                drop(reply.send(self.configuration.page_after(revision, PAGE_RECORDS)));
+                drop(reply.send(self.configuration.page_after(revision, MAX_PAGE_RECORDS)));
             }
             NodeMessage::Apply(page, reply) => drop(reply.send(self.apply(page))),
             NodeMessage::Announce(target) => {
-                self.membership.update_local(self.clock.now(), |own| own.target = target);
+                self.membership.update_local(self.clock.now(), |local| local.target = target);
                 self.publish();
             }
             NodeMessage::Leave(reply) => {
-                self.membership.update_local(self.clock.now(), |own| {
-                    own.target = None;
-                    own.state = MemberState::Left;
+                self.membership.update_local(self.clock.now(), |local| {
+                    local.target = None;
+                    local.state = MemberState::Left;
                 });
                 reply.send(()).ok();
             }
@@ -222,29 +224,29 @@
         }
     }
 
-    fn take_in(&mut self, gossip: &Gossip) {
+    fn merge_gossip(&mut self, gossip: &Gossip) {
         let now = self.clock.now();
-        let mut news = gossip.updates.clone();
-        news.push(gossip.sender.clone());
-        self.membership.merge(news, now);
+        let mut updates = gossip.updates.clone();
+        updates.push(gossip.sender.clone());
+        self.membership.merge(updates, now);
     }
 
-    /// Has the prober asked for its changes, if it has a higher revision in force.
-    fn note_if_ahead(&self, gossip: &Gossip) {
+    /// Queues a fetch of the sender's changes if its active revision is higher.
+    fn enqueue_if_ahead(&self, gossip: &Gossip) {
         let is_ahead = gossip.revision > self.configuration.revision();
         if let Some(address) = gossip.sender.control_address.parse().ok().filter(|_| is_ahead) {
-            // A full channel means that changes are being fetched already.
-            self.ahead.try_send(address).ok();
+            // If the channel is full, fetches from other peers are already queued.
+            self.peers_ahead.try_send(address).ok();
         }
     }
 
     fn follow_up(&mut self, gossip: &Gossip) -> FollowUp {
         let is_same = self.membership.digest_hash() == gossip.digest_hash;
-        self.mismatches = if is_same { 0 } else { self.mismatches + 1 };
-        let is_newcomer = self.membership.present().nth(2).is_none();
-        let is_due = self.mismatches >= MISMATCHES_BEFORE_EXCHANGE || (is_newcomer && !is_same);
+        self.digest_mismatches = if is_same { 0 } else { self.digest_mismatches + 1 };
+        let is_joining = self.membership.present().nth(2).is_none();
+        let is_due = self.digest_mismatches >= EXCHANGE_THRESHOLD || (is_joining && !is_same);
         if is_due {
-            self.mismatches = 0;
+            self.digest_mismatches = 0;
         }
         FollowUp {
             is_exchange_due: is_due,
@@ -256,8 +258,8 @@
         if !self.configuration.apply(page) {
             return false;
         }
-        info!(self.logger, "configuration in force"; "revision" => self.configuration.revision());
-        self.in_force.send_replace(Arc::new(self.configuration.clone()));
+        info!(self.logger, "configuration active"; "revision" => self.configuration.revision());
+        self.published_configuration.send_replace(Arc::new(self.configuration.clone()));
         true
     }
 
--- a/crates/teaseltrack-node/src/seeds.rs
+++ b/crates/teaseltrack-node/src/seeds.rs
@@ -1,4 +1,5 @@
-//! Finding the first peers: from the settings and from a few rows that entries keep.
+//! Peer discovery from seed addresses: those in the settings, and the rows that entries maintain in
+//! the store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,19 +17,19 @@
 
 use crate::{clients::ControlClients, gossip::probe_address, node::NodeHandle};
 
-/// Wait between tries while no peer is known.
+/// Interval between attempts to join, and to write a seed row after a failure.
 const JOIN_PERIOD: Duration = Duration::from_millis(500);
-/// Wait between looks for peers that this instance lost.
+/// Interval between probes of a seed once joined, which reconnect a partitioned membership.
 const REJOIN_PERIOD: Duration = Duration::from_secs(30);
-/// Age after which a row is no longer believed, in milliseconds.
-const MAX_AGE_MS: u64 = 24 * 3_600 * 1_000;
-/// Time between two writes of an entry's row.
+/// Age after which a seed row is ignored, in milliseconds.
+const MAX_SEED_AGE_MS: u64 = 24 * 3_600 * 1_000;
+/// Interval at which an entry rewrites its seed row.
 const REFRESH_PERIOD: Duration = Duration::from_secs(3_600);
 
-/// Address of an entry, one row of the table.
+/// Control address of an entry, stored as one row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeedRow {
-    /// The entry.
+    /// Name of the entry's instance.
     pub instance: InstanceId,
     /// Address of its control port.
     pub control_address: SocketAddr,
@@ -36,20 +37,21 @@
     pub written_at_ms: u64,
 }
 
-/// Where first peers are looked for.
+/// Sources of seed addresses.
 #[derive(Clone, Debug)]
 pub struct SeedSources {
-    /// This instance's own control address, which is left out.
-    pub own: SocketAddr,
-    /// Addresses from the settings.
-    pub settings: Vec<SocketAddr>,
-    /// The table.
+    /// Control address of this instance, which is excluded.
+    pub local_address: SocketAddr,
+    /// Seed addresses from the settings.
+    pub configured: Vec<SocketAddr>,
+    /// Store with the seed rows.
     pub store: Store,
-    /// Whether to look again for lost peers once the first are found.
+    /// Whether to keep probing seeds after joining, to find lost peers again.
     pub is_rejoining: bool,
 }
 
-/// Joins the fleet, and now and then looks for peers that were lost.
+/// Joins the fleet through a seed; with `is_rejoining`, keeps probing a random seed until `closing`
+/// is cancelled.
 pub async fn run_seeds(
     node: NodeHandle,
     clients: ControlClients,
@@ -58,19 +60,19 @@
     closing: CancellationToken,
 ) {
     loop {
-        let is_alone = node.members().len() < 2;
-        if is_alone || sources.is_rejoining {
-            let addresses = candidates(&sources).await;
-            let chosen = choose(&addresses, is_alone);
-            for address in chosen {
-                if probe_address(&node, &clients, address).await && is_alone {
+        let is_isolated = node.members().len() < 2;
+        if is_isolated || sources.is_rejoining {
+            let addresses = seed_addresses(&sources).await;
+            let selected = select_addresses(&addresses, is_isolated);
+            for address in selected {
+                if probe_address(&node, &clients, address).await && is_isolated {
                     info!(logger, "joined the fleet"; "through" => %address);
                 }
             }
         } else if !sources.is_rejoining {
             return;
         }
-        let period = if is_alone { JOIN_PERIOD } else { REJOIN_PERIOD };
+        let period = if is_isolated { JOIN_PERIOD } else { REJOIN_PERIOD };
         let wait = period.mul_f64(rand::rng().random_range(0.8..1.2));
         tokio::select! {
             () = sleep(wait) => {}
@@ -79,7 +81,7 @@
     }
 }
 
-/// Keeps an entry's row fresh until `closing` is cancelled, then deletes it.
+/// Rewrites an entry's seed row periodically until `closing` is cancelled, then deletes it.
 pub async fn maintain_seed_row(store: Store, mut row: SeedRow, closing: CancellationToken) {
     let key = keys::seed(&row.instance);
     loop {
@@ -100,24 +102,26 @@
     store.commit(transaction).await.map(drop)
 }
 
-async fn candidates(sources: &SeedSources) -> Vec<SocketAddr> {
+async fn seed_addresses(sources: &SeedSources) -> Vec<SocketAddr> {
     let rows = sources.store.list(keys::SEEDS, "").await.unwrap_or_default();
-    let oldest_ms = unix_ms(std::time::SystemTime::now()).saturating_sub(MAX_AGE_MS);
-    let from_table = rows
+    let oldest_ms = unix_ms(std::time::SystemTime::now()).saturating_sub(MAX_SEED_AGE_MS);
+    let from_store = rows
         .iter()
         .filter_map(|row| Row::parse::<SeedRow>(row).ok())
         .filter(|seed| seed.written_at_ms >= oldest_ms)
         .map(|seed| seed.control_address);
-    let mut all: Vec<SocketAddr> = sources.settings.iter().copied().chain(from_table).collect();
-    all.retain(|address| *address != sources.own);
-    all.sort_unstable();
-    all.dedup();
-    all
+    let mut addresses: Vec<SocketAddr> =
+        sources.configured.iter().copied().chain(from_store).collect();
+    addresses.retain(|address| *address != sources.local_address);
+    addresses.sort_unstable();
+    addresses.dedup();
+    addresses
 }
 
-/// All addresses while alone, so that one dead entry doesn't delay the start; else one at random.
-fn choose(addresses: &[SocketAddr], is_alone: bool) -> Vec<SocketAddr> {
-    if is_alone {
+/// All addresses while this instance has no peers, so that one dead entry doesn't delay joining;
+/// otherwise a random one.
+fn select_addresses(addresses: &[SocketAddr], is_isolated: bool) -> Vec<SocketAddr> {
+    if is_isolated {
         return addresses.to_vec();
     }
     addresses.choose(&mut rand::rng()).copied().into_iter().collect()
--- a/crates/teaseltrack-node/src/settings.rs
+++ b/crates/teaseltrack-node/src/settings.rs
@@ -5,19 +5,19 @@
 use serde::{Deserialize, Serialize};
 use teaseltrack_daemon::settings::{SettingsError, check_positive, check_specified_ip};
 
-/// Settings of membership and control calls.
+/// Settings of the membership and of control calls.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// Address on which control calls arrive, `IP:port`.
+    /// Listen address for control calls, `IP:port`.
     pub address: SocketAddr,
-    /// Control addresses of instances that were there last, tried before the table's.
+    /// Control addresses of known instances, used as seeds in addition to those in the store.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Time between probes, in milliseconds.
+    /// Average interval between probes, in milliseconds.
     #[serde(default = "default_probe_period_ms")]
     pub probe_period_ms: u64,
-    /// Time between looks at the store for configuration changes, in milliseconds.
+    /// Average interval between polls of the store for configuration changes, in milliseconds.
     #[serde(default = "default_poll_period_ms")]
     pub poll_period_ms: u64,
 }
@@ -31,11 +31,11 @@
 }
 
 impl ControlSettings {
-    /// Checks the values.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// The first key with an impossible value.
+    /// Names the first key with an invalid value.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_specified_ip("control.address", self.address)?;
         check_positive("control.probe_period_ms", self.probe_period_ms as f64)?;
--- a/crates/teaseltrack-node/src/start.rs
+++ b/crates/teaseltrack-node/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts what entries and agents share.
+//! Starts the tasks that entries and agents share.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,54 +16,54 @@
 
 use crate::{
     clients::ControlClients,
-    configuration::run_configuration,
+    configuration::run_configuration_polling,
     control_server::{TaskCall, serve_control},
-    gossip::{follow_peers, run_gossip},
+    gossip::{fetch_from_ahead_peers, run_gossip},
     node::{NodeHandle, spawn_node},
     seeds::{SeedSources, run_seeds},
     settings::ControlSettings,
 };
 
-/// Peers with a higher revision that may wait to be asked for it.
-const AHEAD_PEERS: usize = 4;
+/// Maximum queued fetches from peers with a higher revision.
+const MAX_PEERS_AHEAD: usize = 4;
 
-/// What every process shares between its tasks.
+/// Handles shared by the tasks of a process.
 #[derive(Clone)]
 pub struct NodeContext {
-    /// Logs.
+    /// Logger.
     pub logger: Logger,
     /// Clock.
     pub clock: SharedClock,
     /// The platform's store.
     pub store: Store,
-    /// The node.
+    /// Handle to the membership and the active configuration.
     pub node: NodeHandle,
-    /// Clients of control calls.
+    /// Clients for control calls.
     pub clients: ControlClients,
-    /// Bytes of control calls.
+    /// Bytes transferred by control calls.
     pub control_bytes: Arc<ByteCount>,
-    /// The planned stop.
+    /// Graceful shutdown.
     pub shutdown: Shutdown,
 }
 
-/// The instance as it introduces itself.
+/// Identity of the instance as a member of the fleet.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// What it does.
+    /// Role of the instance.
     pub role: Role,
-    /// Address of its control port.
+    /// Address of the control port.
     pub control_address: SocketAddr,
-    /// Address of its request port.
+    /// Address of the request port.
     pub request_address: SocketAddr,
-    /// Number of this process, higher than that of any earlier one.
+    /// Incarnation of the process, higher than that of any earlier process of the instance.
     pub incarnation: u64,
 }
 
-/// A store as the settings describe it.
+/// Creates a client of the store with the address, timeout and rate limits in the settings.
 pub fn open_store(settings: &PlatformSettings, clock: SharedClock) -> Store {
     let adapter = http_adapter(settings.address, Duration::from_millis(settings.timeout_ms));
     let budget =
@@ -71,7 +71,7 @@
     Store::new(adapter, budget, clock)
 }
 
-/// Starts the node with its gossip, configuration and control port.
+/// Starts the node's task, gossip, seeding, configuration polling and the control server.
 pub fn start_node(
     identity: Identity,
     settings: &ControlSettings,
@@ -82,12 +82,12 @@
 ) -> NodeContext {
     let is_entry = identity.role == Role::Entry;
     let control_address = identity.control_address;
-    let (ahead, ahead_receiver) = mpsc::channel(AHEAD_PEERS);
-    let node = spawn_node(member_of(identity), clock.clone(), logger.clone(), ahead);
+    let (peers_ahead, peers_ahead_receiver) = mpsc::channel(MAX_PEERS_AHEAD);
+    let node = spawn_node(local_member(identity), clock.clone(), logger.clone(), peers_ahead);
     let control_bytes = Arc::new(ByteCount::default());
     let clients = ControlClients::new(control_bytes.clone());
     let closing = shutdown.closing.clone();
-    tokio::spawn(follow_peers(node.clone(), clients.clone(), ahead_receiver));
+    tokio::spawn(fetch_from_ahead_peers(node.clone(), clients.clone(), peers_ahead_receiver));
     tokio::spawn(serve_control(
         listener,
         node.clone(),
@@ -99,8 +99,8 @@
     let probe_period = Duration::from_millis(settings.probe_period_ms);
     tokio::spawn(run_gossip(node.clone(), clients.clone(), probe_period, closing.clone()));
     let sources = SeedSources {
-        own: control_address,
-        settings: settings.seeds.clone(),
+        local_address: control_address,
+        configured: settings.seeds.clone(),
         store: store.clone(),
         is_rejoining: is_entry,
     };
@@ -111,7 +111,7 @@
         logger.clone(),
         closing.clone(),
     ));
-    tokio::spawn(run_configuration(
+    tokio::spawn(run_configuration_polling(
         node.clone(),
         clients.clone(),
         store.clone(),
@@ -122,7 +122,7 @@
     NodeContext { logger, clock, store, node, clients, control_bytes, shutdown }
 }
 
-fn member_of(identity: Identity) -> Member {
+fn local_member(identity: Identity) -> Member {
     Member {
         instance: identity.name,
         role: identity.role,
