--- a/crates/teaseltrack-node/src/configuration.rs
+++ b/crates/teaseltrack-node/src/configuration.rs
@@ -45,9 +45,7 @@
         match poll_changes(&node, &store).await {
             Ok(true) => push_updates(&node, &clients).await,
             Ok(false) => {}
-            Err(error) => {
-                warn!(logger, "polling the store for configuration changes failed"; "error" => %error)
-            }
+            Err(error) => warn!(logger, "polling the store failed"; "error" => %error),
         }
         let wait = period.mul_f64(rand::rng().random_range(0.8..1.2));
         tokio::select! {
--- a/crates/teaseltrack-node/src/node.rs
+++ b/crates/teaseltrack-node/src/node.rs
@@ -125,8 +125,8 @@
     published_configuration: watch::Sender<Arc<Configuration>>,
 }
 
-/// Starts the node's task; `peers_ahead` receives the addresses of peers whose probes showed a higher
-/// active revision.
+/// Starts the node's task; `peers_ahead` receives the addresses of peers whose probes showed a
+/// higher active revision.
 pub fn spawn_node(
     local: Member,
     clock: SharedClock,
