--- a/crates/teaseltrack-node/src/configuration.rs
+++ b/crates/teaseltrack-node/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Fetching configuration changes, from the store and from peers.
+//! Fetches configuration changes from the store and from peers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,20 +19,21 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    clients::{ControlClients, deadline},
-    gossip::push_news,
+    clients::{ControlClients, context_with_timeout},
+    gossip::push_updates,
     node::{NodeHandle, NodeMessage},
 };
 
-/// Time for a peer to hand over changes.
+/// Timeout of a request for a page of a peer's changes.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Revisions behind which all records are read anew.
-const MAX_CATCH_UP: Revision = 200;
-/// Kinds of records that are in force at every process.
-const KINDS_IN_FORCE: [RecordKind; 3] = [RecordKind::Service, RecordKind::Team, RecordKind::Watch];
+/// Maximum revisions to catch up on from the journal; further behind, all records are listed.
+const MAX_INCREMENTAL_REVISIONS: Revision = 200;
+/// Kinds of records that belong to the configuration of every process.
+const CONFIGURATION_KINDS: [RecordKind; 3] =
+    [RecordKind::Service, RecordKind::Team, RecordKind::Watch];
 
-/// Looks at the store for changes every period until `closing` is cancelled.
-pub async fn run_configuration(
+/// Polls the store for changes until `closing` is cancelled; the period is jittered by 20%.
+pub async fn run_configuration_polling(
     node: NodeHandle,
     clients: ControlClients,
     store: Store,
@@ -41,20 +42,21 @@
     closing: CancellationToken,
 ) {
     loop {
-        match poll(&node, &store).await {
-            Ok(true) => push_news(&node, &clients).await,
+        match poll_changes(&node, &store).await {
+            Ok(true) => push_updates(&node, &clients).await,
             Ok(false) => {}
-            Err(error) => warn!(logger, "no look at the store"; "error" => %error),
+            Err(error) => warn!(logger, "polling the store failed"; "error" => %error),
         }
         let wait = period.mul_f64(rand::rng().random_range(0.8..1.2));
         tokio::select! {
-            () = sleep(wait) => debug!(logger, "looking for configuration changes"),
+            () = sleep(wait) => debug!(logger, "polling the store for configuration changes"),
             () = closing.cancelled() => return,
         }
     }
 }
 
-/// Fetches and applies what the peer has in force beyond this instance; true if that was anything.
+/// Fetches and applies the changes that a peer has and this instance lacks; true if the active
+/// revision increased.
 pub async fn fetch_from_peer(
     node: &NodeHandle,
     clients: &ControlClients,
@@ -63,11 +65,12 @@
     let mut after = node.configuration().revision();
     loop {
         let Ok(client) = clients.connect(address).await else { return false };
-        let Ok(page) = client.changes_after(deadline(FETCH_TIMEOUT), after).await else {
+        let Ok(page) = client.changes_after(context_with_timeout(FETCH_TIMEOUT), after).await
+        else {
             return false;
         };
         let next_after = page.next_after();
-        let is_higher = node.ask(|reply| NodeMessage::Apply(page, reply)).await == Some(true);
+        let is_higher = node.request(|reply| NodeMessage::Apply(page, reply)).await == Some(true);
         match next_after {
             Some(next) => after = next,
             None => return is_higher,
@@ -75,29 +78,30 @@
     }
 }
 
-/// Reads and applies what came since the revision in force; true if that was anything.
+/// Reads and applies the changes stored after the active revision; true if the active revision
+/// increased.
 ///
 /// # Errors
 ///
-/// The store doesn't answer.
-pub async fn poll(node: &NodeHandle, store: &Store) -> Result<bool, StoreError> {
+/// The store is unavailable, or a row or entry can't be parsed.
+pub async fn poll_changes(node: &NodeHandle, store: &Store) -> Result<bool, StoreError> {
     let revision = node.configuration().revision();
     let row = store.read(&keys::head(CONFIGURATION_STREAM)).await?;
     let head: StreamHead = row.as_ref().map(Row::parse).transpose()?.unwrap_or_default();
     if head.sequence <= revision {
         return Ok(false);
     }
-    let page = if revision == 0 || head.sequence - revision > MAX_CATCH_UP {
+    let page = if revision == 0 || head.sequence - revision > MAX_INCREMENTAL_REVISIONS {
         read_all(store, head.sequence).await?
     } else {
         read_after(store, revision).await?
     };
-    Ok(node.ask(|reply| NodeMessage::Apply(page, reply)).await == Some(true))
+    Ok(node.request(|reply| NodeMessage::Apply(page, reply)).await == Some(true))
 }
 
 async fn read_all(store: &Store, through_revision: Revision) -> Result<ChangePage, StoreError> {
     let mut records: Vec<Record> = Vec::new();
-    for kind in KINDS_IN_FORCE {
+    for kind in CONFIGURATION_KINDS {
         for row in store.list_all(&keys::records(kind)).await? {
             records.push(row.parse()?);
         }
