--- a/crates/teaseltrack-agent/src/tasks/placer.rs
+++ b/crates/teaseltrack-agent/src/tasks/placer.rs
@@ -19,7 +19,7 @@
     task::{Decision, Placement, TaskId},
 };
 use teaseltrack_node::{
-    clients::{ControlClients, deadline},
+    clients::{ControlClients, context_with_timeout},
     node::NodeHandle,
 };
 use teaseltrack_wire::control::{ReservationRequest, ReservationResponse};
@@ -233,10 +233,10 @@
     requests: Vec<ReservationRequest>,
 ) -> Option<ReservationResponse> {
     let client = clients.client(address).await.ok()?;
-    match client.reserve_room(deadline(RESERVATION_TIMEOUT), requests).await {
+    match client.reserve_room(context_with_timeout(RESERVATION_TIMEOUT), requests).await {
         Ok(response) => response.ok(),
         Err(_) => {
-            clients.forget(address);
+            clients.remove(address);
             None
         }
     }
