--- a/crates/teaseltrack-cli/src/output.rs
+++ b/crates/teaseltrack-cli/src/output.rs
@@ -39,7 +39,7 @@
         Self::new(record, text)
     }
 
-    /// Adds a field to the JSON, and its text to the text.
+    /// Adds a field to the JSON form, and `text` to the text form.
     pub fn append<T: Serialize>(&mut self, field: &str, value: &T, text: &str) {
         self.json[field] = json!(value);
         self.text.push_str(text);
--- a/crates/teaseltrack-daemon/src/boot_clock.rs
+++ b/crates/teaseltrack-daemon/src/boot_clock.rs
@@ -1,7 +1,7 @@
 //! Monotonic clock that keeps running while the machine is suspended.
 //!
-//! `Instant` doesn't advance during a suspension. With it, a process that resumes would take a
-//! lease as valid that has expired for all others.
+//! `Instant` doesn't advance during a suspension. A process that measured its lease by it would,
+//! after a suspension, treat the lease as valid although it has expired for all other processes.
 
 use std::time::{Duration, Instant, SystemTime};
 
--- a/crates/teaseltrack-daemon/src/http_client.rs
+++ b/crates/teaseltrack-daemon/src/http_client.rs
@@ -46,7 +46,7 @@
         /// The refusal.
         problem: Box<Problem>,
     },
-    /// The response body can't be parsed.
+    /// The response body can't be parsed, or the request body can't be serialized.
     #[snafu(display("unreadable answer: {source}"))]
     Unreadable {
         /// Cause.
--- a/crates/teaseltrack-daemon/src/metrics.rs
+++ b/crates/teaseltrack-daemon/src/metrics.rs
@@ -33,7 +33,7 @@
 /// Prefix of all metric names.
 const PREFIX: &str = "teaseltrack";
 
-/// Help text of every metric, shown next to its value; points to the documentation.
+/// Help text that a scrape shows for every metric; points to its documentation.
 const HELP: &str = "See docs/OPERATIONS.md";
 /// Content type of a scrape response.
 const SCRAPE_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -58,8 +58,8 @@
 #[derive(Debug, Default)]
 struct Exposition {
     registry: Registry,
-    totals: HashMap<String, Counter>,
-    counters: HashMap<String, Family<Labels, Counter>>,
+    counters: HashMap<String, Counter>,
+    tagged_counters: HashMap<String, Family<Labels, Counter>>,
     gauges: HashMap<String, Gauge>,
     histograms: HashMap<String, Histogram>,
 }
@@ -97,14 +97,14 @@
     /// Increments a counter.
     pub fn count(&self, name: &str) {
         drop(self.client.incr(name));
-        self.lock_exposition().total(name).inc();
+        self.lock_exposition().counter(name).inc();
     }
 
     /// Increments a counter with one label.
     pub fn count_tagged(&self, name: &str, tag: &str, value: &str) {
         self.client.count_with_tags(name, 1_i64).with_tag(tag, value).send();
         let labels = vec![(tag.to_owned(), value.to_owned())];
-        self.lock_exposition().counter(name).get_or_create(&labels).inc();
+        self.lock_exposition().tagged_counter(name).get_or_create(&labels).inc();
     }
 
     /// Sets a gauge.
@@ -136,16 +136,16 @@
 }
 
 impl Exposition {
-    fn total(&mut self, name: &str) -> &Counter {
-        self.totals.entry(name.to_owned()).or_insert_with(|| {
+    fn counter(&mut self, name: &str) -> &Counter {
+        self.counters.entry(name.to_owned()).or_insert_with(|| {
             let counter = Counter::default();
             self.registry.register(full_name(name), HELP, counter.clone());
             counter
         })
     }
 
-    fn counter(&mut self, name: &str) -> &Family<Labels, Counter> {
-        self.counters.entry(name.to_owned()).or_insert_with(|| {
+    fn tagged_counter(&mut self, name: &str) -> &Family<Labels, Counter> {
+        self.tagged_counters.entry(name.to_owned()).or_insert_with(|| {
             let family = Family::default();
             self.registry.register(full_name(name), HELP, family.clone());
             family
--- a/crates/teaseltrack-daemon/src/problem.rs
+++ b/crates/teaseltrack-daemon/src/problem.rs
@@ -21,7 +21,7 @@
     pub reason: ErrorKind,
     /// HTTP status code.
     pub status: u16,
-    /// Whether the request was executed, as far as known.
+    /// Whether the request was executed; `Unknown` if that can't be determined.
     pub outcome: Outcome,
     /// Description of the error, with the name of the field at fault.
     pub detail: String,
--- a/crates/teaseltrack-entry/src/callers/agent_connection.rs
+++ b/crates/teaseltrack-entry/src/callers/agent_connection.rs
@@ -106,7 +106,7 @@
         Self { sender, is_not_sent: Arc::default() }
     }
 
-    /// Flag that is set when a call has failed and certainly wasn't sent or processed.
+    /// Flag that is set if the call fails and certainly wasn't sent or processed.
     pub fn not_sent_flag(&self) -> Arc<AtomicBool> {
         self.is_not_sent.clone()
     }
@@ -130,9 +130,8 @@
         let is_not_sent = self.is_not_sent.clone();
         Box::pin(async move {
             sending.await.map_err(|mut error| {
-                let is_confirmed =
-                    error.take_message().is_some() || is_refused_stream(error.error());
-                is_not_sent.store(is_confirmed, Ordering::Relaxed);
+                let is_certain = error.take_message().is_some() || is_refused_stream(error.error());
+                is_not_sent.store(is_certain, Ordering::Relaxed);
                 error.into_error()
             })
         })
--- a/crates/teaseltrack-entry/src/callers/dispatcher.rs
+++ b/crates/teaseltrack-entry/src/callers/dispatcher.rs
@@ -69,9 +69,10 @@
     Choose(TargetRequest),
     /// Records the end of an attempt.
     End(TargetKey, AttemptEnd),
-    /// Replies with the backoff before a retry; `None` if the failed attempt isn't retried.
+    /// Charges a retry to the retry budget and replies with the backoff before it; `None` if the
+    /// failed attempt isn't retried.
     Retry(Class, FailedAttempt, oneshot::Sender<Option<Duration>>),
-    /// Replies whether the retry budget allows a hedge.
+    /// Charges a hedge to the retry budget; replies whether the budget allowed it.
     Hedge(Class, oneshot::Sender<bool>),
 }
 
--- a/crates/teaseltrack-entry/src/callers/server.rs
+++ b/crates/teaseltrack-entry/src/callers/server.rs
@@ -44,7 +44,7 @@
 
 /// Maximum number of response chunks buffered for the caller.
 const RESPONSE_CHANNEL_CAPACITY: usize = 16;
-/// Divisor of the remaining time; the quotient is reserved for the agent's response to arrive.
+/// Divisor of the remaining time that gives the part reserved for the agent's response to arrive.
 const RESPONSE_MARGIN_DIVISOR: u32 = 20;
 /// Maximum time that is reserved for the agent's response to arrive.
 const MAX_RESPONSE_MARGIN: Duration = Duration::from_millis(20);
@@ -68,7 +68,7 @@
     pub attempts: AttemptContext,
     /// Source of spans.
     pub spans: Spans,
-    /// Metrics client.
+    /// Recorder of metrics.
     pub metrics: Metrics,
     /// Phases of the graceful shutdown.
     pub shutdown: Shutdown,
@@ -197,6 +197,8 @@
         }
     }
 
+    /// Makes one attempt, and a hedge if the request is hedged and the first attempt is slow; returns
+    /// the first response that starts.
     async fn attempt_or_hedge(
         &self,
         prepared: &PreparedRequest,
--- a/crates/teaseltrack-entry/src/entry.rs
+++ b/crates/teaseltrack-entry/src/entry.rs
@@ -140,7 +140,7 @@
         self.addresses
     }
 
-    /// Waits for the start of the graceful shutdown, and completes it.
+    /// Waits until draining starts, then carries out the graceful shutdown.
     pub async fn wait(self) {
         self.common.shutdown.draining.cancelled().await;
         let logger = self.common.logger.clone();
@@ -156,7 +156,7 @@
         drop(timeout(DRAIN_TIMEOUT, self.open_responses.wait()).await);
         drop(timeout(SEED_TIMEOUT, self.seed_row).await);
         self.spans.flush();
-        info!(logger, "graceful shutdown completed");
+        info!(logger, "entry stopped");
     }
 }
 
--- a/crates/teaseltrack-entry/src/operators/archiver.rs
+++ b/crates/teaseltrack-entry/src/operators/archiver.rs
@@ -18,7 +18,8 @@
 
 /// Mean interval between checks of the journal's length.
 const ARCHIVE_PERIOD: Duration = Duration::from_secs(60);
-/// Newest entries that are retained in the table, so that most readers don't need the archive.
+/// Minimum number of newest entries retained in the table, so that most readers don't need the
+/// archive.
 const RETAINED_ENTRIES: u64 = SEGMENT_ENTRIES;
 
 /// Archives full segments periodically until `closing` is cancelled.
@@ -42,7 +43,8 @@
     }
 }
 
-/// Archives all full segments except for the newest entries; returns the number of segments.
+/// Archives all full segments before the newest `RETAINED_ENTRIES` entries; returns the number of
+/// segments.
 ///
 /// # Errors
 ///
--- a/crates/teaseltrack-entry/src/operators/commands.rs
+++ b/crates/teaseltrack-entry/src/operators/commands.rs
@@ -232,8 +232,9 @@
         }
     }
 
-    /// Notifies the shard's owner of a queued command and pushes a committed change to peers;
-    /// processes that miss the push detect the change by comparing digests.
+    /// Notifies the shard's owner of a queued command, activates the committed change in this
+    /// process and pushes its revision to peers. Processes that miss the push detect the higher
+    /// revision in a later probe or by polling the store.
     async fn propagate(&self, record: &Record) {
         if record.kind == RecordKind::Job {
             let context = self.clone();
--- a/crates/teaseltrack-platform/src/history.rs
+++ b/crates/teaseltrack-platform/src/history.rs
@@ -13,7 +13,7 @@
 /// Archive position of a stream, with the version of the row that stores it.
 #[derive(Clone, Debug, Default)]
 pub struct Archive {
-    /// Last archived entry and its hash.
+    /// Last archived entry and its hash, and the last entry of the newest snapshot.
     pub mark: ArchiveMark,
     /// Version of the mark's row; 0 if the row doesn't exist.
     pub version: u64,
@@ -32,12 +32,13 @@
     }
 
     /// Archives the next full segment, if it ends at or before `through_sequence`; returns whether
-    /// a segment was archived.
+    /// a segment was archived. The new mark refers to the snapshot as of `snapshot_sequence`.
     ///
     /// # Errors
     ///
-    /// The store is unavailable. No entry is lost: entries are deleted from the table in the same
-    /// transaction that advances the mark, after the segment is stored.
+    /// The store is unavailable, or the entries don't form a hash chain. No entry is lost: entries
+    /// are deleted from the table in the same transaction that advances the mark, after the segment
+    /// is stored.
     pub async fn move_segment(
         &mut self,
         store: &Store,
@@ -101,7 +102,7 @@
 ///
 /// # Errors
 ///
-/// The store is unavailable.
+/// The store is unavailable, or an archived segment is missing or can't be parsed.
 pub async fn read_entries(
     store: &Store,
     stream: &str,
--- a/crates/teaseltrack-platform/src/store.rs
+++ b/crates/teaseltrack-platform/src/store.rs
@@ -1,8 +1,7 @@
 //! Storage interface of the platform: rows, conditional transactions and objects.
 //!
 //! After an error, a write may or may not have taken effect. Every transaction therefore has a
-//! unique identifier and conditions, so that it can be retried safely and its effect can be read
-//! back.
+//! unique identifier and conditions: it can be retried safely, and its effect can be read back.
 
 use std::{
     fmt,
@@ -175,7 +174,7 @@
         /// First segment of the table's keys.
         table: String,
     },
-    /// Reads changes of a table, waiting for the first one.
+    /// Reads changes of a table; waits for the first one if there is none yet.
     Changes {
         /// First segment of the table's keys.
         table: String,
--- a/crates/teaseltrack-platform/src/stream.rs
+++ b/crates/teaseltrack-platform/src/stream.rs
@@ -29,7 +29,7 @@
 /// Parameters of an append.
 #[derive(Clone, Debug)]
 pub struct Append {
-    /// Operator or instance that made the decisions.
+    /// Operator or instance that appends the entry.
     pub author: String,
     /// Content of the entry.
     pub body: EntryBody,
@@ -182,7 +182,8 @@
     }
 
     /// Determines the outcome after a conflict, which may be caused by an earlier try of the same
-    /// transaction whose response was lost.
+    /// transaction whose response was lost. Reads are retried until the store responds, even after
+    /// `retry_deadline`.
     async fn resolve_conflict(
         &mut self,
         store: &Store,
--- a/crates/teaseltrack-platform/src/worker.rs
+++ b/crates/teaseltrack-platform/src/worker.rs
@@ -2,8 +2,9 @@
 //!
 //! A worker runs attempts under a lease whose deadline is expressed in the worker's clock: each
 //! sync response carries the worker's time, from which the agent converts the deadline. When the
-//! lease expires, the worker pauses its attempts on its own; a new incarnation drops them. Requests
-//! from a holder with a lower incarnation than the current one are refused.
+//! lease expires, the worker pauses its attempts on its own; a lease with a new incarnation drops
+//! them. The holder of the worker is the agent's process with the highest incarnation; requests from
+//! earlier ones are refused.
 
 use std::{
     net::SocketAddr,
@@ -86,7 +87,7 @@
     pub now_ms: u64,
     /// Incarnation under which the attempts run.
     pub incarnation: Option<Incarnation>,
-    /// All attempts that the agent hasn't acknowledged as ended.
+    /// All attempts except ended ones that the agent has acknowledged.
     pub attempts: Vec<WorkerAttempt>,
 }
 
@@ -109,8 +110,8 @@
     pub not_after_ms: Option<u64>,
 }
 
-/// Stops an attempt; idempotent. An attempt that the worker doesn't know yet can't be started
-/// afterwards.
+/// Stops an attempt; idempotent. Stopping an attempt that was never started prevents a delayed
+/// [`StartRequest`] from starting it later.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StopRequest {
     /// Incarnation of the agent's process.
@@ -138,8 +139,8 @@
     clock: SharedClock,
     /// Incarnation of the agent's process.
     holder: Incarnation,
-    /// Local time when the last sync response was received, and the worker's clock in it, in
-    /// milliseconds; the worker read its clock no later than that.
+    /// Local time when the last sync response was received, and the worker's clock from that
+    /// response, in milliseconds; the worker read its clock no later than the local time.
     clock_sample: Option<(Instant, u64)>,
 }
 
@@ -154,7 +155,7 @@
     ///
     /// # Errors
     ///
-    /// No response, or another process holds the worker.
+    /// No response, or a later process of the agent is the worker's holder.
     pub async fn sync(
         &mut self,
         incarnation: Option<Incarnation>,
@@ -184,7 +185,7 @@
     ///
     /// # Errors
     ///
-    /// No response, or the worker doesn't know the attempt.
+    /// No response, or the worker refused.
     pub async fn stop(
         &self,
         key: AttemptKey,
--- a/crates/teaseltrack-wire/src/cell.rs
+++ b/crates/teaseltrack-wire/src/cell.rs
@@ -20,7 +20,7 @@
     State(JobState),
 }
 
-/// Calls to a cell's owner; a process that isn't the owner returns a response that says so.
+/// Calls to a cell's owner; the response of any other process indicates that it isn't the owner.
 #[tarpc::service]
 pub trait CellControl {
     /// Accepts an agent's report and returns orders for the agent.
--- a/crates/teaseltrack-wire/src/control.rs
+++ b/crates/teaseltrack-wire/src/control.rs
@@ -16,7 +16,7 @@
 /// Maximum size of a control message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// Gossip message: a probe or its acknowledgement.
+/// Gossip message: a probe or the response to it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Gossip {
     /// Sender, as a member of the fleet.
@@ -174,7 +174,7 @@
     /// Probes another instance on the caller's behalf; returns whether it responded.
     async fn probe_through(control_address: String) -> bool;
     /// Synchronizes membership: returns the instance's members in the buckets whose hashes differ
-    /// from the caller's digest.
+    /// from the caller's digest, up to a size limit.
     async fn exchange(digest: Digest) -> Vec<Member>;
     /// Returns configuration changes after a revision.
     async fn changes_after(revision: Revision) -> ChangePage;
--- a/crates/teaseltrack-wire/src/operators.rs
+++ b/crates/teaseltrack-wire/src/operators.rs
@@ -62,6 +62,6 @@
 pub struct FleetStatus {
     /// Active configuration revision.
     pub revision: Revision,
-    /// Members that are eligible for work.
+    /// Entries and agents that are alive or suspect.
     pub members: Vec<Member>,
 }
