--- a/crates/teaseltrack-entry/src/entry.rs
+++ b/crates/teaseltrack-entry/src/entry.rs
@@ -62,7 +62,7 @@
 
 /// Running entry.
 pub struct Entry {
-    common: NodeContext,
+    node_context: NodeContext,
     addresses: EntryAddresses,
     drain_grace: Duration,
     open_responses: TaskTracker,
@@ -100,7 +100,7 @@
             incarnation: unix_ms(clock.wall_now()),
         };
         let store = open_store(&settings.platform, clock.clone());
-        let common = start_node(
+        let node_context = start_node(
             identity,
             &settings.control,
             listeners.control,
@@ -113,26 +113,26 @@
             control_address: addresses.control,
             written_at_ms: 0,
         };
-        let draining = common.shutdown.draining.clone();
-        let seed_row = tokio::spawn(maintain_seed_row(common.store.clone(), seed, draining));
+        let draining = node_context.shutdown.draining.clone();
+        let seed_row = tokio::spawn(maintain_seed_row(node_context.store.clone(), seed, draining));
         tokio::spawn(run_archiver(
-            common.store.clone(),
+            node_context.store.clone(),
             settings.instance.name.clone(),
             logger.clone(),
-            common.shutdown.closing.clone(),
+            node_context.shutdown.closing.clone(),
         ));
         let open_responses = TaskTracker::new();
-        let callers = caller_server(&settings, &common, &spans, &metrics, &open_responses);
+        let callers = caller_server(&settings, &node_context, &spans, &metrics, &open_responses);
         let servers = vec![
-            serve_callers(&settings, &common, callers, listeners.callers),
-            serve_operators(&common, listeners.operators),
+            serve_callers(&settings, &node_context, callers, listeners.callers),
+            serve_operators(&node_context, listeners.operators),
         ];
-        let status = status_report(&common, &open_responses);
-        tokio::spawn(serve_health(listeners.health, common.shutdown.clone(), status));
+        let status = status_report(&node_context, &open_responses);
+        tokio::spawn(serve_health(listeners.health, node_context.shutdown.clone(), status));
         info!(logger, "entry started"; "callers" => %addresses.callers,
             "operators" => %addresses.operators, "control" => %addresses.control);
         let drain_grace = Duration::from_millis(settings.callers.drain_grace_ms);
-        Ok(Self { common, addresses, drain_grace, open_responses, servers, seed_row, spans })
+        Ok(Self { node_context, addresses, drain_grace, open_responses, servers, seed_row, spans })
     }
 
     /// Listen addresses of the entry.
@@ -142,13 +142,13 @@
 
     /// Waits until draining starts, then carries out the graceful shutdown.
     pub async fn wait(self) {
-        self.common.shutdown.draining.cancelled().await;
-        let logger = self.common.logger.clone();
+        self.node_context.shutdown.draining.cancelled().await;
+        let logger = self.node_context.logger.clone();
         info!(logger, "graceful shutdown started");
         sleep(self.drain_grace).await;
-        self.common.node.request(NodeMessage::Leave).await;
-        push_updates(&self.common.node, &self.common.clients).await;
-        self.common.shutdown.closing.cancel();
+        self.node_context.node.request(NodeMessage::Leave).await;
+        push_updates(&self.node_context.node, &self.node_context.clients).await;
+        self.node_context.shutdown.closing.cancel();
         for server in self.servers {
             drop(timeout(DRAIN_TIMEOUT, server).await);
         }
@@ -178,29 +178,29 @@
 
 fn caller_server(
     settings: &EntrySettings,
-    common: &NodeContext,
+    node_context: &NodeContext,
     spans: &Spans,
     metrics: &Metrics,
     open_responses: &TaskTracker,
 ) -> CallerServer {
     let zone = settings.instance.zone.clone();
     let connections = AgentConnections::default();
-    tokio::spawn(close_stale_connections(common.clone(), connections.clone()));
+    tokio::spawn(close_stale_connections(node_context.clone(), connections.clone()));
     CallerServer {
-        node: common.node.clone(),
-        dispatcher: spawn_dispatcher(common.node.clone(), zone, common.clock.clone()),
-        attempts: AttemptContext { connections, clock: common.clock.clone() },
+        node: node_context.node.clone(),
+        dispatcher: spawn_dispatcher(node_context.node.clone(), zone, node_context.clock.clone()),
+        attempts: AttemptContext { connections, clock: node_context.clock.clone() },
         spans: spans.clone(),
         metrics: metrics.clone(),
-        shutdown: common.shutdown.clone(),
+        shutdown: node_context.shutdown.clone(),
         open_responses: open_responses.clone(),
         max_body_bytes: settings.callers.max_body_bytes,
     }
 }
 
 /// Closes connections to agents that have left the fleet.
-async fn close_stale_connections(common: NodeContext, connections: AgentConnections) {
-    let mut members = common.node.watch_members();
+async fn close_stale_connections(node_context: NodeContext, connections: AgentConnections) {
+    let mut members = node_context.node.watch_members();
     while members.changed().await.is_ok() {
         let current = members.borrow_and_update().clone();
         connections.retain(|agent| {
@@ -212,45 +212,45 @@
 
 fn serve_callers(
     settings: &EntrySettings,
-    common: &NodeContext,
+    node_context: &NodeContext,
     callers: CallerServer,
     listener: TcpListener,
 ) -> JoinHandle<()> {
     let max_connections = settings.callers.max_connections;
-    let closing = common.shutdown.closing.clone();
+    let closing = node_context.shutdown.closing.clone();
     tokio::spawn(serve(listener, max_connections, closing, move |request| {
         callers.clone().handle(request)
     }))
 }
 
-fn serve_operators(common: &NodeContext, listener: TcpListener) -> JoinHandle<()> {
+fn serve_operators(node_context: &NodeContext, listener: TcpListener) -> JoinHandle<()> {
     let context = CommandContext {
-        store: common.store.clone(),
-        clock: common.clock.clone(),
-        node: common.node.clone(),
-        clients: common.clients.clone(),
+        store: node_context.store.clone(),
+        clock: node_context.clock.clone(),
+        node: node_context.node.clone(),
+        clients: node_context.clients.clone(),
     };
-    let closing = common.shutdown.closing.clone();
+    let closing = node_context.shutdown.closing.clone();
     tokio::spawn(serve(listener, MAX_OPERATOR_CONNECTIONS, closing, move |request| {
         handle(context.clone(), request)
     }))
 }
 
-fn status_report(common: &NodeContext, open_responses: &TaskTracker) -> StatusReport {
-    let (common, open_responses) = (common.clone(), open_responses.clone());
+fn status_report(node_context: &NodeContext, open_responses: &TaskTracker) -> StatusReport {
+    let (node_context, open_responses) = (node_context.clone(), open_responses.clone());
     Arc::new(move || {
-        let members = common.node.members();
+        let members = node_context.node.members();
         let targets = members.iter().filter(|member| member.target.is_some()).count();
         json!({
-            "revision": common.node.configuration().revision(),
-            "records": common.node.configuration().record_count(),
+            "revision": node_context.node.configuration().revision(),
+            "records": node_context.node.configuration().record_count(),
             "members": members.len(),
             "targets": targets,
             "answers_in_flight": open_responses.len(),
-            "control_sent_bytes": common.control_bytes.sent(),
-            "control_received_bytes": common.control_bytes.received(),
-            "store_reads": common.store.usage().reads(),
-            "store_writes": common.store.usage().writes(),
+            "control_sent_bytes": node_context.control_bytes.sent(),
+            "control_received_bytes": node_context.control_bytes.received(),
+            "store_reads": node_context.store.usage().reads(),
+            "store_writes": node_context.store.usage().writes(),
         })
     })
 }
