--- a/crates/teaseltrack-agent/src/tasks/owner/leases.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/leases.rs
@@ -80,7 +80,7 @@
         watch.observe(row.version, sent_at);
         let is_ended = lease.state != LeaseState::Held;
         let is_lapsed = !is_ended && watch.is_lapsed(Duration::from_millis(lease.ttl_ms));
-        let last_incarnation =
+        let last_ended_incarnation =
             if is_ended || is_lapsed { lease.incarnation } else { lease.incarnation - 1 };
         let lost: Vec<(TaskId, u32)> = self
             .state
@@ -88,7 +88,8 @@
             .filter_map(|id| {
                 let task = self.state.task(id)?;
                 let placement = task.state.placement()?;
-                (placement.incarnation <= last_incarnation).then(|| (id.clone(), task.attempt))
+                (placement.incarnation <= last_ended_incarnation)
+                    .then(|| (id.clone(), task.attempt))
             })
             .collect();
         if lost.is_empty() {
--- a/crates/teaseltrack-cell/src/candidate.rs
+++ b/crates/teaseltrack-cell/src/candidate.rs
@@ -111,7 +111,12 @@
             // unknown, so no lease is granted before the next commit.
             let grant_period = self.context.ownership.grant_period;
             let renewed_at = now.checked_sub(grant_period).unwrap_or(now);
-            return Ok(Some(self.takeover(record, row.version, renewed_at, now + grant_period)));
+            return Ok(Some(self.build_takeover(
+                record,
+                row.version,
+                renewed_at,
+                now + grant_period,
+            )));
         }
         if record.owner == self.instance && record.address == self.address {
             let is_first = record.epoch == 1;
@@ -145,10 +150,10 @@
 
     async fn take_over(
         &self,
-        known: Option<(OwnerRecord, Row)>,
+        stored: Option<(OwnerRecord, Row)>,
         previous_grants_end: Instant,
     ) -> Result<Option<Takeover>, StoreError> {
-        let (epoch, version) = known.map_or((0, 0), |(record, row)| (record.epoch, row.version));
+        let (epoch, version) = stored.map_or((0, 0), |(record, row)| (record.epoch, row.version));
         let record = OwnerRecord {
             epoch: epoch + 1,
             owner: self.instance.clone(),
@@ -171,12 +176,12 @@
             CommitOutcome::Committed { version } => {
                 info!(self.context.logger, "cell taken over"; "epoch" => record.epoch);
                 self.update_known_owner(&record);
-                Ok(Some(self.takeover(record, version, sent_at, previous_grants_end)))
+                Ok(Some(self.build_takeover(record, version, sent_at, previous_grants_end)))
             }
         }
     }
 
-    fn takeover(
+    fn build_takeover(
         &self,
         record: OwnerRecord,
         version: u64,
--- a/crates/teaseltrack-cell/src/entry.rs
+++ b/crates/teaseltrack-cell/src/entry.rs
@@ -124,13 +124,13 @@
             writes: vec![Write::put(key, &Submission { spec, queue: queue.clone() })],
         };
         // Number of calls without a definite response, including the one in flight.
-        let mut unanswered_calls = 0_u32;
+        let mut in_doubt_calls = 0_u32;
         let retry_loop = async {
             loop {
-                unanswered_calls += 1;
+                in_doubt_calls += 1;
                 match self.store.commit(transaction.clone()).await {
                     Ok(CommitOutcome::Committed { .. } | CommitOutcome::Conflict { .. }) => return,
-                    Err(StoreError::Refused { .. }) => unanswered_calls -= 1,
+                    Err(StoreError::Refused { .. }) => in_doubt_calls -= 1,
                     Err(_) => {}
                 }
                 sleep(RETRY_DELAY).await;
@@ -138,7 +138,7 @@
         };
         let outcome = match timeout_at(deadline.into(), retry_loop).await {
             Ok(()) => SubmitOutcome::Accepted,
-            Err(_) if unanswered_calls > 0 => SubmitOutcome::Unknown,
+            Err(_) if in_doubt_calls > 0 => SubmitOutcome::Unknown,
             Err(_) => SubmitOutcome::Refused,
         };
         self.metrics.count_tagged("submissions", "outcome", outcome.name());
--- a/crates/teaseltrack-cell/src/owner.rs
+++ b/crates/teaseltrack-cell/src/owner.rs
@@ -177,7 +177,7 @@
         mut inboxes: Inboxes,
         closing: CancellationToken,
     ) {
-        let mut idle = Some(committer);
+        let mut idle_committer = Some(committer);
         let mut committing: Option<CommitTask> = None;
         let mut ticks = interval(OWNER_TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -201,7 +201,7 @@
                     let commit_time = self.context.clock.now().duration_since(self.renewed_at);
                     self.context.metrics.time("commit", commit_time);
                     self.cell.commit_succeeded();
-                    idle = Some(committer);
+                    idle_committer = Some(committer);
                 }
                 _ = ticks.tick() => self.cell.tick(self.context.clock.now()),
                 Ok(()) = inboxes.configuration.changed() => {
@@ -213,23 +213,23 @@
                 () = closing.cancelled(), if !self.is_stopping => self.is_stopping = true,
             }
             self.plan();
-            committing = match (committing, idle.take()) {
+            committing = match (committing, idle_committer.take()) {
                 (None, Some(committer)) => match self.start_commit(committer) {
                     Ok(task) => Some(task),
                     Err(committer) => {
-                        idle = Some(*committer);
+                        idle_committer = Some(*committer);
                         None
                     }
                 },
                 (committing, committer) => {
-                    idle = committer;
+                    idle_committer = committer;
                     committing
                 }
             };
             self.respond_to_parked();
             self.log_events();
             if self.is_stopping && committing.is_none() {
-                if let Some(mut committer) = idle
+                if let Some(mut committer) = idle_committer
                     && committer.release().await.is_ok()
                 {
                     info!(self.context.logger, "cell released"; "epoch" => self.cell.epoch());
