--- a/crates/teaseltrack-agent/src/agent.rs
+++ b/crates/teaseltrack-agent/src/agent.rs
@@ -61,7 +61,7 @@
 const REFUSAL_GRACE: Duration = Duration::from_secs(1);
 /// Timeout of each drain step of a graceful shutdown: requests, tasks, shards, lease and server.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// Delay before the worker is queried again.
+/// Delay before the worker is queried again after a failed query.
 const WORKER_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Addresses on which an agent listens.
--- a/crates/teaseltrack-agent/src/options/config.rs
+++ b/crates/teaseltrack-agent/src/options/config.rs
@@ -53,7 +53,7 @@
 pub struct TargetSettings {
     /// Loopback listen address for the target's announcements, `IP:port`.
     pub announce_address: SocketAddr,
-    /// Time after the last announcement at which the target is considered gone, in milliseconds.
+    /// Time after which an announcement that wasn't renewed expires, in milliseconds.
     #[serde(default = "default_announcement_ttl_ms")]
     pub announcement_ttl_ms: u64,
     /// Maximum number of concurrent requests to the target, regardless of what it announces.
--- a/crates/teaseltrack-agent/src/requests/capacity.rs
+++ b/crates/teaseltrack-agent/src/requests/capacity.rs
@@ -42,13 +42,14 @@
 pub struct Permit {
     /// The slot.
     pub key: PermitKey,
-    /// Generation of the target that the slot belongs to.
+    /// Generation of the target, a counter of its processes; releases of earlier generations are
+    /// ignored.
     pub generation: u64,
     /// Address on which the target accepts requests.
     pub target: SocketAddr,
 }
 
-/// A request that asks for admission.
+/// A request offered for admission.
 #[derive(Debug)]
 pub struct RequestOffer {
     /// Service that the request is for.
@@ -59,7 +60,7 @@
     pub reply: oneshot::Sender<Result<Permit, Refusal>>,
 }
 
-/// A message to the task.
+/// A message to the capacity task.
 #[derive(Debug)]
 pub enum CapacityMessage {
     /// Admit a request.
@@ -89,7 +90,7 @@
     pub latency_ratio: f64,
 }
 
-/// Handle to the task; cheap to clone.
+/// Handle to the capacity task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct CapacityHandle {
     sender: mpsc::Sender<CapacityMessage>,
@@ -102,7 +103,7 @@
         self.sender.send(message).await.ok();
     }
 
-    /// Sends a message and waits for the reply; `None` if the task has ended.
+    /// Sends a message and waits for the reply; `None` if the capacity task has ended.
     pub async fn request<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> CapacityMessage,
@@ -130,7 +131,7 @@
     pub max_slots: u32,
     /// Maximum number of queued requests per class.
     pub queue_per_class: usize,
-    /// Time after the last announcement at which the target is considered gone.
+    /// Time after which an announcement that wasn't renewed expires.
     pub announcement_ttl: Duration,
 }
 
@@ -157,7 +158,7 @@
     status: watch::Sender<CapacityStatus>,
 }
 
-/// Dependencies of the task.
+/// Dependencies of the capacity task.
 pub struct CapacityContext {
     /// Logger.
     pub logger: Logger,
@@ -171,7 +172,7 @@
     pub clients: ControlClients,
 }
 
-/// Starts the task.
+/// Starts the capacity task.
 pub fn spawn_capacity(limits: CapacityLimits, context: CapacityContext) -> CapacityHandle {
     let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let (status, status_receiver) = watch::channel(CapacityStatus::default());
@@ -269,7 +270,7 @@
         reply.send(Err(refusal)).ok();
     }
 
-    /// Grants free slots to queued requests, skipping requests whose caller is gone.
+    /// Grants free slots to queued requests, skipping requests whose caller has disconnected.
     fn dispatch(&mut self) {
         let Some(target) = self.target.as_ref().map(|target| target.announcement.address) else {
             return;
@@ -362,7 +363,7 @@
         }
     }
 
-    /// Publishes the status, and replies to pending drains when no request is left.
+    /// Publishes the status, and replies to pending withdrawals and drains when no request is left.
     fn finish_iteration(&mut self) {
         let in_flight = self.admission.in_flight();
         self.counts.max_in_flight = self.counts.max_in_flight.max(in_flight);
--- a/crates/teaseltrack-agent/src/requests/forward.rs
+++ b/crates/teaseltrack-agent/src/requests/forward.rs
@@ -1,8 +1,8 @@
 //! Server of the request path: admits requests, forwards them to the target and streams responses.
 //!
-//! Each admitted request is handled by an async task that holds its slot. If the caller's deadline
-//! passes before the head of the response, the error is returned immediately but the task keeps
-//! waiting: the slot is freed only when the target responds or closes the connection.
+//! Each admitted request is handled by an async task that occupies its slot. If the caller's
+//! deadline passes before the head of the response, the error is returned immediately but the task
+//! keeps waiting: the slot is freed only when the target responds or closes the connection.
 
 use std::{
     pin::pin,
@@ -40,7 +40,8 @@
 
 /// Capacity of the channel of response frames to the entry.
 const RESPONSE_CHANNEL_CAPACITY: usize = 16;
-/// Time for which the rest of a late response is read before the connection is closed.
+/// Maximum time for reading the rest of a response after the deadline, before the connection is
+/// closed.
 const BODY_DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 /// Advised retry delay of refusals that don't come from admission control.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
@@ -48,7 +49,7 @@
 /// Server of the request path.
 #[derive(Clone)]
 pub struct ForwardServer {
-    /// Handle to the task that allocates the target's slots.
+    /// Handle to the capacity task, which allocates the target's slots.
     pub capacity: CapacityHandle,
     /// Connection pool of the target.
     pub target: TargetClient,
@@ -133,7 +134,7 @@
         Ok(ReceivedRequest { head, body: body.into(), deadline })
     }
 
-    /// Handles a request; its slot is held for as long as the target may be working on it.
+    /// Handles a request; its slot stays occupied for as long as the target may be working on it.
     async fn handle(self, received: ReceivedRequest, frames: FrameSender) {
         let request_id = received.head.request_id.clone();
         let span = self.spans.start("agent.request", non_empty(&received.head.traceparent));
@@ -155,7 +156,7 @@
         self.capacity.send(CapacityMessage::Release(permit, latency)).await;
     }
 
-    /// Waits for a slot; the request leaves the queue if its caller goes away.
+    /// Waits for a slot; stops waiting if the caller disconnects.
     async fn admit(
         &self,
         received: &ReceivedRequest,
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Releases the slot of a request that was admitted just as its caller went away.
+    /// Releases the slot of a request that was admitted just as its caller disconnected.
     async fn release_unclaimed(
         &self,
         mut admission: oneshot::Receiver<Result<Permit, AdmissionRefusal>>,
@@ -227,7 +228,7 @@
         let Ok(response) = timeout_at(deadline, sending.as_mut()).await else {
             let error = ForwardError::new(ErrorKind::AnswerLost, "no answer by the deadline");
             self.refuse(frames, &request_id, error).await;
-            // The target may still be working: hold the slot until it responds or disconnects.
+            // The target may still be working: keep the slot until it responds or disconnects.
             if let Ok((late, _)) = sending.await {
                 drain_body(late.into_body()).await;
             }
--- a/crates/teaseltrack-agent/src/tasks/attempts.rs
+++ b/crates/teaseltrack-agent/src/tasks/attempts.rs
@@ -40,7 +40,7 @@
     tasks::{lease_keeper::LeaseView, reporter::ReportMessage},
 };
 
-/// Capacity of the task's message channel.
+/// Capacity of the attempt manager's message channel.
 pub const CHANNEL_CAPACITY: usize = 1_024;
 /// Interval between syncs with the worker.
 const SYNC_PERIOD: Duration = Duration::from_millis(100);
@@ -49,7 +49,7 @@
 /// Time for which the number of an ended attempt is kept, so that a repeated start is ignored.
 const ACCEPTED_TTL: Duration = Duration::from_secs(3_600);
 
-/// A message to the task.
+/// A message to the attempt manager.
 #[derive(Debug)]
 pub enum AttemptMessage {
     /// Reserve capacity.
@@ -81,7 +81,7 @@
     pub share: f64,
 }
 
-/// Dependencies of the task.
+/// Dependencies of the attempt manager.
 pub struct AttemptContext {
     /// Logger.
     pub logger: Logger,
@@ -95,13 +95,13 @@
     pub capacity: Resources,
     /// The instance's lease.
     pub lease: watch::Receiver<Option<LeaseView>>,
-    /// Handle to the target's latency ratio, by which batch work is throttled.
+    /// Handle from which the target's latency ratio is read, to throttle batch work.
     pub requests: CapacityHandle,
     /// Sender of reports.
     pub reports: mpsc::Sender<ReportMessage>,
     /// Publishes the status.
     pub status: watch::Sender<AttemptStatus>,
-    /// Sender to the task itself, for the completion of background work.
+    /// Sender to the attempt manager itself, for the completion of background work.
     pub sender: mpsc::Sender<AttemptMessage>,
 }
 
@@ -407,8 +407,8 @@
             self.process_attempt(attempt).await;
         }
         let missing: Vec<AttemptKey> = self.running.difference(&listed).cloned().collect();
-        // A start request may still be in transit. The worker remembers a stop and refuses a later
-        // start of the same attempt.
+        // The start request of an attempt that isn't listed may still be in transit, so the attempt
+        // is stopped: the worker remembers the stop and refuses a later start of the attempt.
         for key in missing {
             self.stopping.entry(key).or_insert(StopCause::Evict);
         }
--- a/crates/teaseltrack-agent/src/tasks/lease_keeper.rs
+++ b/crates/teaseltrack-agent/src/tasks/lease_keeper.rs
@@ -2,8 +2,8 @@
 //!
 //! The lease belongs to the instance, not to the process: a new agent process adopts it if the
 //! worker still runs under it, and starts a new incarnation otherwise. If a renewal finds the row
-//! changed, either an observer marked it as lapsed, and a new incarnation starts, or a newer agent
-//! process holds it, and this one abandons its tasks.
+//! changed, either a shard's owner marked the lease as lapsed, and a new incarnation starts, or a
+//! newer agent process holds it, and this one abandons its tasks.
 
 use std::time::{Duration, Instant};
 
@@ -68,7 +68,7 @@
 }
 
 impl LeaseKeeper {
-    /// Holds the lease until `release` is received, or until a newer process holds the instance.
+    /// Holds the lease until `release` is received, or until a newer process holds it.
     ///
     /// `adopted_incarnation` is the incarnation under which the worker is already running.
     pub async fn run(
@@ -105,7 +105,7 @@
         self.view.send_replace(Some(LeaseView { incarnation, deadline }));
     }
 
-    /// Acquires the lease for this process; `None` if a newer process holds the instance.
+    /// Acquires the lease for this process; `None` if a newer process holds it.
     async fn acquire(&self, adopted_incarnation: Option<Incarnation>) -> Option<WrittenLease> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
@@ -159,8 +159,7 @@
         }
     }
 
-    /// Renews the lease, retrying until the store responds; `None` if a newer process holds the
-    /// instance.
+    /// Renews the lease, retrying until the store responds; `None` if a newer process holds it.
     async fn renew(&self, mut held: WrittenLease) -> Option<WrittenLease> {
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         let row = self.row(held.row.incarnation, LeaseState::Held);
@@ -177,8 +176,9 @@
             let wait = backoff.after_failure(&mut rand::rng());
             sleep(wait).await;
         }
-        // The row was changed by an earlier try of this renewal whose response was lost, by an
-        // observer, or by a newer process. Acquiring the lease again distinguishes these cases.
+        // The row was changed by an earlier try of this renewal whose response was lost, by a
+        // shard's owner that marked the lease as lapsed, or by a newer process. Acquiring the lease
+        // again distinguishes these cases.
         let adopted_incarnation = self.own_incarnation(&row).await;
         if adopted_incarnation.is_none() {
             warn!(self.logger, "lease lost"; "incarnation" => row.incarnation);
--- a/crates/teaseltrack-agent/src/tasks/owner.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner.rs
@@ -253,7 +253,7 @@
                 && current.state.placement().is_some_and(|placement| placement.instance == instance)
         });
         if !is_current {
-            // The attempt isn't the current one, so stop it.
+            // An attempt that was started although it isn't the current one is stopped.
             if event == AttemptEvent::Started {
                 let order = StopOrder { task, attempt, cause: StopCause::Cancel };
                 round.stops.entry(instance.to_owned()).or_default().push(order);
--- a/crates/teaseltrack-agent/src/tasks/owner/leases.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/leases.rs
@@ -47,7 +47,6 @@
         Ok(())
     }
 
-    /// Reads the leases of the instances.
     async fn read_leases(&self, instances: &[InstanceId]) -> Result<Vec<Row>, StoreError> {
         let keys: BTreeSet<String> =
             instances.iter().map(|instance| keys::lease(instance)).collect();
@@ -98,8 +97,8 @@
         self.reclaim(lost, &row, lease, is_lapsed).await
     }
 
-    /// Commits the release of lost attempts and, if their lease has lapsed, marks it in the same
-    /// transaction.
+    /// Commits the release of lost attempts and, if their lease has lapsed, marks it as lapsed in
+    /// the same transaction.
     async fn reclaim(
         &mut self,
         lost: Vec<(TaskId, u32)>,
--- a/crates/teaseltrack-agent/src/tasks/placer.rs
+++ b/crates/teaseltrack-agent/src/tasks/placer.rs
@@ -32,7 +32,7 @@
 const REFRESH_AGENTS: usize = 8;
 /// Number of agents queried while there are no capacity hints.
 const INITIAL_REFRESH_AGENTS: usize = 32;
-/// Time for which an agent that didn't respond is excluded.
+/// Time for which an agent that didn't respond is excluded from placement.
 const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_secs(2);
 
 /// Assigns the tasks of one shard to instances.
@@ -203,6 +203,7 @@
         decisions
     }
 
+    /// Records the capacity in a response; returns the granted assignments.
     fn assigned(
         &mut self,
         instance: &str,
--- a/crates/teaseltrack-agent/src/tasks/reporter.rs
+++ b/crates/teaseltrack-agent/src/tasks/reporter.rs
@@ -21,7 +21,7 @@
 
 use crate::tasks::attempts::AttemptMessage;
 
-/// Capacity of the task's message channel.
+/// Capacity of the reporter's message channel.
 pub const CHANNEL_CAPACITY: usize = 4_096;
 /// Timeout for the owner to commit a batch.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/teaseltrack-agent/src/tasks/shard_manager.rs
+++ b/crates/teaseltrack-agent/src/tasks/shard_manager.rs
@@ -33,7 +33,7 @@
 
 use crate::tasks::owner::{OwnerContext, OwnerMessage, ShardOwnerTask, run_owner};
 
-/// Capacity of the task's message channel.
+/// Capacity of the shard manager's message channel.
 pub const CHANNEL_CAPACITY: usize = 1_024;
 /// Mean interval between checks of the shards.
 const CHECK_PERIOD: Duration = Duration::from_secs(1);
@@ -49,7 +49,7 @@
 /// Capacity of an owner's message channel.
 const OWNER_CHANNEL_CAPACITY: usize = 1_024;
 
-/// A message to the task.
+/// A message to the shard manager.
 #[derive(Debug)]
 pub enum ShardMessage {
     /// The shard's inbox has new commands.
--- a/crates/teaseltrack-cell/src/agent.rs
+++ b/crates/teaseltrack-cell/src/agent.rs
@@ -1,8 +1,9 @@
-//! Agent of a worker: a single task that holds the worker's state and executes the owner's orders.
+//! Agent of a worker: a single async task that holds the worker's state and executes the owner's
+//! orders.
 //!
 //! Sync calls renew the worker's lease and list its runs and their ends, which the agent reports to
-//! the owner. All calls run in tasks of their own, whose results arrive as events. A start without
-//! a response is invalidated by a stop of the same attempt ([`unconfirmed_starts`]).
+//! the owner. Each call runs in an async task of its own, whose result arrives as an event. A start
+//! without a response is invalidated by a stop of the same attempt ([`unconfirmed_starts`]).
 
 use std::{
     sync::Arc,
@@ -59,7 +60,7 @@
     pub clock_ms: Option<u64>,
 }
 
-/// Event for an agent's task.
+/// Event for an agent's async task.
 #[derive(Debug)]
 pub enum AgentEvent {
     /// The worker sent a heartbeat.
@@ -398,7 +399,7 @@
         }
     }
 
-    /// Handles a response from a later incarnation than in the last heartbeat.
+    /// Handles a response from a later incarnation than that of the last heartbeat.
     fn handle_worker_restart(&mut self, started_unix_ms: Option<u64>) {
         let (Some(status), Some(started_unix_ms)) = (self.status.as_mut(), started_unix_ms) else {
             return;
@@ -588,6 +589,7 @@
                 self.clock_ms = self.clock_ms.max(response.clock_ms.unwrap_or(0));
             }
             Err(WorkerError::Refused { reason }) if reason == "old" => {
+                // The attempt is outdated and won't start anymore; a listing shows whether it ran.
                 let now = self.context.clock.now();
                 self.unconfirmed_starts.add(&order.task, order.attempt);
                 self.unconfirmed_starts.stop_accepted(&order.task, order.attempt, now);
--- a/crates/teaseltrack-cell/src/candidate.rs
+++ b/crates/teaseltrack-cell/src/candidate.rs
@@ -107,8 +107,8 @@
             return self.take_over(Some((record, row)), now).await;
         }
         if record.owner == self.instance && record.started_unix_ms == self.started_unix_ms {
-            // An earlier takeover by this process succeeded, but its response was lost. Its time is
-            // unknown, so no lease is granted before the next commit.
+            // An earlier takeover by this process succeeded, but its response was lost. The time of
+            // the takeover is unknown, so no lease is granted before the next commit.
             let grant_period = self.context.ownership.grant_period;
             let renewed_at = now.checked_sub(grant_period).unwrap_or(now);
             return Ok(Some(self.build_takeover(
--- a/crates/teaseltrack-cell/src/constants.rs
+++ b/crates/teaseltrack-cell/src/constants.rs
@@ -28,7 +28,8 @@
 pub const MAX_COMMIT_ROWS: usize = 90;
 /// Interval at which an owner checks leases and periodic work.
 pub const OWNER_TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time without a successful commit after which an owner requests its replacement.
+/// Time without a successful commit after which an owner reports to the agents that it can't
+/// commit, so that another process takes over.
 pub const STORE_LOST_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time without contact to the owner after which an agent checks the owner's row: the wait of a
 /// parked report plus the transit time of its response.
@@ -55,11 +56,11 @@
 pub const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Timeout of start, stop and pace calls to a worker.
 pub const WORKER_CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after a worker has accepted a stop until a listing without the run proves that the run
-/// never started.
+/// Minimum time from a worker's acceptance of a stop to the request of a listing; a run that is
+/// missing from this listing never started.
 pub const STOP_SETTLE_TIME: Duration = Duration::from_millis(700);
 /// Maximum wait for changes in one call to the store. A dead connection is detected within this
-/// wait plus the call's timeout, which must leave time to apply a new configuration.
+/// wait plus the call's timeout; their sum must leave time to apply a new configuration.
 pub const MAX_CHANGES_WAIT: Duration = Duration::from_millis(1_200);
 
 /// Timing of ownership; on a slow store, each commit of an owner may take several renewal
--- a/crates/teaseltrack-cell/src/entry.rs
+++ b/crates/teaseltrack-cell/src/entry.rs
@@ -1,7 +1,8 @@
 //! Operations of an entry on callers' jobs.
 //!
 //! A job is accepted once its row is stored, and cancelled once the row of its cancellation is
-//! stored. States are read from the owner, or from the store while no owner responds.
+//! stored. States are read from the owner, or from the store if the owner doesn't respond or
+//! doesn't have the job.
 
 use std::time::{Duration, Instant};
 
@@ -84,7 +85,7 @@
     Found(T),
     /// The object doesn't exist.
     Absent,
-    /// Neither the owner nor the store responded in time.
+    /// No response to the query in time.
     Unavailable,
 }
 
@@ -123,7 +124,7 @@
             conditions: vec![Condition { key: key.clone(), version: 0 }],
             writes: vec![Write::put(key, &Submission { spec, queue: queue.clone() })],
         };
-        // Number of calls without a definite response, including the one in flight.
+        // Number of calls that may have stored the job, including the one in flight.
         let mut in_doubt_calls = 0_u32;
         let retry_loop = async {
             loop {
@@ -205,7 +206,7 @@
         timeout_at(deadline.into(), retry_loop).await.unwrap_or(Lookup::Unavailable)
     }
 
-    /// Returns the number of jobs of a queue without a started task.
+    /// Returns the number of a queue's jobs of which no task has started.
     pub async fn pending_count(&self, queue: &QueueName, deadline: Instant) -> Lookup<u64> {
         let retry_loop = async {
             loop {
--- a/crates/teaseltrack-cell/src/lib.rs
+++ b/crates/teaseltrack-cell/src/lib.rs
@@ -1,10 +1,10 @@
-//! Runtime of a cell: the tasks and sockets around the state machine in `teaseltrack::cell`.
+//! Runtime of a cell: the async tasks and sockets around the state machine in `teaseltrack::cell`.
 //!
 //! - [`entry`] serves callers' jobs: it stores and cancels jobs and returns their states.
 //! - [`agent`] manages the worker on its instance: it renews the worker's lease, executes orders
 //!   and reports to the owner.
-//! - [`candidate`] runs in each agent process and takes over the cell when its owner fails;
-//!   [`owner`] is the task that it then runs.
+//! - [`candidate`] runs in each agent process and takes over the cell when its owner fails or
+//!   releases it; [`owner`] is the async task that it then runs.
 //! - [`rows`] defines the stored rows, [`configuration`] follows the configuration of the queues,
 //!   and [`calls`] implements the RPCs between processes.
 //!
--- a/crates/teaseltrack-cell/src/owner.rs
+++ b/crates/teaseltrack-cell/src/owner.rs
@@ -1,4 +1,4 @@
-//! Owner of a cell: a single task that holds the cell's state.
+//! Owner of a cell: a single async task that holds the cell's state.
 //!
 //! Reports, queries and submissions arrive as messages. [`committer`] commits decisions one batch
 //! at a time; [`loader`] reads the stored state.
--- a/crates/teaseltrack-cell/src/owner/loader.rs
+++ b/crates/teaseltrack-cell/src/owner/loader.rs
@@ -1,4 +1,4 @@
-//! Reads of an owner: the whole cell at startup, then new submissions and cancellations.
+//! Loads the stored state of a cell for a new owner, then follows submissions and cancellations.
 
 use std::{
     collections::{HashMap, HashSet},
--- a/crates/teaseltrack-cell/src/rows.rs
+++ b/crates/teaseltrack-cell/src/rows.rs
@@ -16,7 +16,7 @@
 
 /// Table of submissions and cancellations.
 pub const JOBS_TABLE: &str = "jobs";
-/// Table that changes only with each new owner, for processes that follow the owner.
+/// Table that changes only when the cell gets a new owner, for processes that follow the owner.
 pub const OWNERS_TABLE: &str = "owners";
 /// Key of the owner's row, which is rewritten with each commit.
 pub const OWNER_KEY: &str = "cell/0/owner";
@@ -24,8 +24,8 @@
 pub const OWNER_NOTICE_KEY: &str = "owners/0/owner";
 /// Prefix of the jobs' progress rows.
 pub const PROGRESS_PREFIX: &str = "progress/0/";
-/// Parts of [`JOBS_TABLE`]; enough for twice the burst of submissions at the rate that a part
-/// allows.
+/// Parts of [`JOBS_TABLE`]; at the rate limit of a part, they accept twice the burst of
+/// submissions.
 pub const JOB_PARTS: [&str; 4] = ["0", "1", "2", "3"];
 
 const CANCEL_SUFFIX: &str = ".cancel";
@@ -83,7 +83,7 @@
     }
 }
 
-/// Combines the rows of a job.
+/// Combines the rows of a job into its stored state.
 pub fn stored_job(
     id: JobId,
     submission: Submission,
--- a/crates/teaseltrack-cell/src/worker_port.rs
+++ b/crates/teaseltrack-cell/src/worker_port.rs
@@ -18,7 +18,7 @@
         /// Cause.
         message: String,
     },
-    /// The worker rejected the call without executing it.
+    /// The worker rejected the call: it didn't execute it and won't.
     #[snafu(display("worker refused the call: {reason}"))]
     Refused {
         /// Reason given by the worker.
--- a/crates/teaseltrack-cell/tests/agent.rs
+++ b/crates/teaseltrack-cell/tests/agent.rs
@@ -1,4 +1,4 @@
-//! Tests of the agent's task with a worker that restarts while responses are in flight.
+//! Tests of the agent's async task with a worker that restarts while responses are in flight.
 
 use std::{
     sync::{Arc, Mutex},
