--- a/crates/teaseltrack-cell/src/agent.rs
+++ b/crates/teaseltrack-cell/src/agent.rs
@@ -589,7 +589,7 @@
                 self.clock_ms = self.clock_ms.max(response.clock_ms.unwrap_or(0));
             }
             Err(WorkerError::Refused { reason }) if reason == "old" => {
-                // The attempt is outdated and won't start anymore; a listing shows whether it ran.
+                // The worker refuses the attempt as outdated; a later listing shows whether it ran.
                 let now = self.context.clock.now();
                 self.unconfirmed_starts.add(&order.task, order.attempt);
                 self.unconfirmed_starts.stop_accepted(&order.task, order.attempt, now);
