--- a/crates/teaseltrack-agent/src/agent.rs
+++ b/crates/teaseltrack-agent/src/agent.rs
@@ -79,7 +79,7 @@
 
 /// A running agent.
 pub struct Agent {
-    common: NodeContext,
+    node_context: NodeContext,
     addresses: AgentAddresses,
     capacity: CapacityHandle,
     tasks: Option<TaskHandles>,
@@ -126,7 +126,7 @@
         };
         let store = open_store(&settings.platform, clock.clone());
         let (calls, calls_receiver) = mpsc::channel(TASK_CALL_CHANNEL_CAPACITY);
-        let common = start_node(
+        let node_context = start_node(
             identity,
             &settings.control,
             listeners.control,
@@ -134,14 +134,22 @@
             Some(calls),
             (logger.clone(), clock.clone(), shutdown),
         );
-        let capacity = start_capacity(&settings, &common, &metrics);
+        let capacity = start_capacity(&settings, &node_context, &metrics);
         let tasks = settings.tasks.as_ref().map(|tasks| {
-            start_tasks(tasks, &settings, &common, &capacity, &metrics, incarnation, calls_receiver)
+            start_tasks(
+                tasks,
+                &settings,
+                &node_context,
+                &capacity,
+                &metrics,
+                incarnation,
+                calls_receiver,
+            )
         });
         let target = TargetClient::new(settings.target.max_connections);
         let server = start_requests(
             &settings,
-            &common,
+            &node_context,
             ForwardServer {
                 capacity: capacity.clone(),
                 target: target.clone(),
@@ -152,13 +160,13 @@
             },
             listeners.requests,
         );
-        let closing = common.shutdown.closing.clone();
+        let closing = node_context.shutdown.closing.clone();
         tokio::spawn(serve_announcements(listeners.announce, capacity.clone(), closing));
-        let status = status_report(&common, &capacity, &target, tasks.as_ref());
-        tokio::spawn(serve_health(listeners.health, common.shutdown.clone(), status));
+        let status = status_report(&node_context, &capacity, &target, tasks.as_ref());
+        tokio::spawn(serve_health(listeners.health, node_context.shutdown.clone(), status));
         info!(logger, "agent started"; "requests" => %addresses.requests,
             "control" => %addresses.control, "announce" => %addresses.announce);
-        Ok(Self { common, addresses, capacity, tasks, server, spans })
+        Ok(Self { node_context, addresses, capacity, tasks, server, spans })
     }
 
     /// Addresses on which the agent listens.
@@ -168,8 +176,8 @@
 
     /// Waits for the shutdown signal, then shuts down gracefully.
     pub async fn wait(self) {
-        self.common.shutdown.draining.cancelled().await;
-        let logger = self.common.logger.clone();
+        self.node_context.shutdown.draining.cancelled().await;
+        let logger = self.node_context.logger.clone();
         info!(logger, "graceful shutdown started");
         let requests = self.capacity.request(CapacityMessage::Drain);
         let tasks = drain_tasks(self.tasks, &logger);
@@ -178,9 +186,9 @@
             warn!(logger, "requests still running after the drain timeout");
         }
         sleep(REFUSAL_GRACE).await;
-        self.common.node.request(NodeMessage::Leave).await;
-        push_updates(&self.common.node, &self.common.clients).await;
-        self.common.shutdown.closing.cancel();
+        self.node_context.node.request(NodeMessage::Leave).await;
+        push_updates(&self.node_context.node, &self.node_context.clients).await;
+        self.node_context.shutdown.closing.cancel();
         drop(timeout(DRAIN_TIMEOUT, self.server).await);
         self.spans.flush();
         info!(logger, "agent stopped");
@@ -205,7 +213,7 @@
 
 fn start_capacity(
     settings: &AgentSettings,
-    common: &NodeContext,
+    node_context: &NodeContext,
     metrics: &Metrics,
 ) -> CapacityHandle {
     let limits = CapacityLimits {
@@ -214,22 +222,22 @@
         announcement_ttl: Duration::from_millis(settings.target.announcement_ttl_ms),
     };
     let context = CapacityContext {
-        logger: common.logger.clone(),
-        clock: common.clock.clone(),
+        logger: node_context.logger.clone(),
+        clock: node_context.clock.clone(),
         metrics: metrics.clone(),
-        node: common.node.clone(),
-        clients: common.clients.clone(),
+        node: node_context.node.clone(),
+        clients: node_context.clients.clone(),
     };
     spawn_capacity(limits, context)
 }
 
 fn start_requests(
     settings: &AgentSettings,
-    common: &NodeContext,
+    node_context: &NodeContext,
     server: ForwardServer,
     listener: TcpListener,
 ) -> JoinHandle<()> {
-    let closing = common.shutdown.closing.clone();
+    let closing = node_context.shutdown.closing.clone();
     let service =
         RequestPathServer::new(server).max_decoding_message_size(settings.requests.max_body_bytes);
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
@@ -245,7 +253,7 @@
 fn start_tasks(
     tasks: &TaskSettings,
     settings: &AgentSettings,
-    common: &NodeContext,
+    node_context: &NodeContext,
     requests: &CapacityHandle,
     metrics: &Metrics,
     holder: u64,
@@ -258,11 +266,11 @@
     let (status, status_receiver) = watch::channel(AttemptStatus::default());
     let (release, release_receiver) = oneshot::channel();
     let instance = settings.instance.name.clone();
-    let worker = WorkerClient::new(tasks.worker_address, holder, common.clock.clone());
+    let worker = WorkerClient::new(tasks.worker_address, holder, node_context.clock.clone());
     let keeper = LeaseKeeper {
-        logger: common.logger.clone(),
-        store: common.store.clone(),
-        clock: common.clock.clone(),
+        logger: node_context.logger.clone(),
+        store: node_context.store.clone(),
+        clock: node_context.clock.clone(),
         instance: instance.clone(),
         holder,
         ttl: Duration::from_millis(tasks.lease_ttl_ms),
@@ -274,9 +282,9 @@
         keeper.run(adopted_incarnation, release_receiver).await;
     });
     let context = AttemptContext {
-        logger: common.logger.clone(),
-        clock: common.clock.clone(),
-        store: common.store.clone(),
+        logger: node_context.logger.clone(),
+        clock: node_context.clock.clone(),
+        store: node_context.store.clone(),
         worker,
         capacity: tasks.capacity(),
         lease,
@@ -287,28 +295,28 @@
     };
     tokio::spawn(Attempts::new(context).run(attempts_receiver));
     let reporter = Reporter {
-        logger: common.logger.clone(),
+        logger: node_context.logger.clone(),
         instance: instance.clone(),
-        store: common.store.clone(),
-        clients: common.clients.clone(),
+        store: node_context.store.clone(),
+        clients: node_context.clients.clone(),
         attempts: attempts.clone(),
     };
     tokio::spawn(reporter.run(reports_receiver));
     let owner = Owner {
         instance,
         holder,
-        control_address: common.node.members()[0].control_address.clone(),
+        control_address: node_context.node.members()[0].control_address.clone(),
     };
     let context = OwnerContext {
-        logger: common.logger.clone(),
+        logger: node_context.logger.clone(),
         metrics: metrics.clone(),
-        clock: common.clock.clone(),
-        store: common.store.clone(),
-        node: common.node.clone(),
-        clients: common.clients.clone(),
+        clock: node_context.clock.clone(),
+        store: node_context.store.clone(),
+        node: node_context.node.clone(),
+        clients: node_context.clients.clone(),
         owner,
     };
-    let manager = ShardManager::new(common.logger.clone(), Arc::new(context));
+    let manager = ShardManager::new(node_context.logger.clone(), Arc::new(context));
     tokio::spawn(manager.run(shards_receiver));
     tokio::spawn(route_calls(calls, Some(attempts.clone()), shards.clone()));
     TaskHandles { attempts, shards, release, status: status_receiver }
@@ -345,19 +353,19 @@
 }
 
 fn status_report(
-    common: &NodeContext,
+    node_context: &NodeContext,
     capacity: &CapacityHandle,
     target: &TargetClient,
     tasks: Option<&TaskHandles>,
 ) -> StatusReport {
-    let (common, capacity, target) = (common.clone(), capacity.clone(), target.clone());
+    let (node_context, capacity, target) = (node_context.clone(), capacity.clone(), target.clone());
     let attempts = tasks.map(|tasks| tasks.status.clone());
     Arc::new(move || -> Value {
         let requests = capacity.status();
-        let members = common.node.members();
+        let members = node_context.node.members();
         let attempts = attempts.as_ref().map(|status| status.borrow().clone()).unwrap_or_default();
         json!({
-            "revision": common.node.configuration().revision(),
+            "revision": node_context.node.configuration().revision(),
             "members": members.len(),
             "targets": members.iter().filter(|member| member.target.is_some()).count(),
             "requests_in_flight": requests.load.in_flight,
@@ -370,10 +378,10 @@
             "attempts_started": attempts.started,
             "attempts_evicted": attempts.evicted,
             "batch_share": attempts.share,
-            "control_sent_bytes": common.control_bytes.sent(),
-            "control_received_bytes": common.control_bytes.received(),
-            "store_reads": common.store.usage().reads(),
-            "store_writes": common.store.usage().writes(),
+            "control_sent_bytes": node_context.control_bytes.sent(),
+            "control_received_bytes": node_context.control_bytes.received(),
+            "store_reads": node_context.store.usage().reads(),
+            "store_writes": node_context.store.usage().writes(),
         })
     })
 }
--- a/crates/teaseltrack-cell/src/calls.rs
+++ b/crates/teaseltrack-cell/src/calls.rs
@@ -134,21 +134,21 @@
     pub async fn report(&self, address: SocketAddr, report: Report) -> Option<ReportResponse> {
         let wait = CALL_TIMEOUT + Duration::from_millis(report.wait_ms);
         let client = self.client(address).await?;
-        let response = timeout(wait, client.report(deadline(wait), report)).await;
+        let response = timeout(wait, client.report(context_with_timeout(wait), report)).await;
         self.response_or_reset(address, response)
     }
 
     /// State of a job; `None` without a response in time.
     pub async fn job_state(&self, address: SocketAddr, job: JobId) -> Option<JobLookup> {
         let client = self.client(address).await?;
-        let call = client.job_state(deadline(CALL_TIMEOUT), job);
+        let call = client.job_state(context_with_timeout(CALL_TIMEOUT), job);
         self.response_or_reset(address, timeout(CALL_TIMEOUT, call).await)
     }
 
     /// Number of pending jobs of a queue; `None` without a response from the owner in time.
     pub async fn pending_count(&self, address: SocketAddr, queue: QueueName) -> Option<u64> {
         let client = self.client(address).await?;
-        let call = client.pending_count(deadline(CALL_TIMEOUT), queue);
+        let call = client.pending_count(context_with_timeout(CALL_TIMEOUT), queue);
         self.response_or_reset(address, timeout(CALL_TIMEOUT, call).await).flatten()
     }
 
@@ -191,8 +191,8 @@
     LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec()
 }
 
-fn deadline(time: Duration) -> context::Context {
+fn context_with_timeout(timeout: Duration) -> context::Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + time;
+    context.deadline = Instant::now() + timeout;
     context
 }
