--- a/crates/teaseltrack-agent/src/tasks/owner/leases.rs
+++ b/crates/teaseltrack-agent/src/tasks/owner/leases.rs
@@ -47,7 +47,6 @@
         Ok(())
     }
 
-    /// Reads the leases of the instances.
     async fn read_leases(&self, instances: &[InstanceId]) -> Result<Vec<Row>, StoreError> {
         let keys: BTreeSet<String> =
             instances.iter().map(|instance| keys::lease(instance)).collect();
@@ -80,7 +79,7 @@
         watch.observe(row.version, sent_at);
         let is_ended = lease.state != LeaseState::Held;
         let is_lapsed = !is_ended && watch.is_lapsed(Duration::from_millis(lease.ttl_ms));
-        let last_incarnation =
+        let last_ended_incarnation =
             if is_ended || is_lapsed { lease.incarnation } else { lease.incarnation - 1 };
         let lost: Vec<(TaskId, u32)> = self
             .state
@@ -88,7 +87,8 @@
             .filter_map(|id| {
                 let task = self.state.task(id)?;
                 let placement = task.state.placement()?;
-                (placement.incarnation <= last_incarnation).then(|| (id.clone(), task.attempt))
+                (placement.incarnation <= last_ended_incarnation)
+                    .then(|| (id.clone(), task.attempt))
             })
             .collect();
         if lost.is_empty() {
@@ -97,8 +97,8 @@
         self.reclaim(lost, &row, lease, is_lapsed).await
     }
 
-    /// Commits the release of lost attempts and, if their lease has lapsed, marks it in the same
-    /// transaction.
+    /// Commits the release of lost attempts and, if their lease has lapsed, marks it as lapsed in
+    /// the same transaction.
     async fn reclaim(
         &mut self,
         lost: Vec<(TaskId, u32)>,
