--- a/crates/teaseltrack-lab/src/load.rs
+++ b/crates/teaseltrack-lab/src/load.rs
@@ -92,7 +92,7 @@
     TimedOut,
     /// The connection failed before the response was complete.
     Truncated,
-    /// A complete response didn't match the request.
+    /// A complete response didn't match the request, or was an error without problem details.
     Mismatched,
 }
 
@@ -133,9 +133,9 @@
     pub truncated: u64,
     /// Requests refused as not executed although the ledger shows an execution.
     pub false_not_run: u64,
-    /// Non-idempotent requests executed more than once.
+    /// Non-idempotent requests executed more than once, of all loads in the ledger.
     pub duplicated: u64,
-    /// Requests started while all slots of a target were in use.
+    /// Requests started while all slots of a target were in use, of all loads in the ledger.
     pub over_capacity: u64,
 }
 
--- a/crates/teaseltrack-lab/src/processes.rs
+++ b/crates/teaseltrack-lab/src/processes.rs
@@ -27,7 +27,7 @@
 const TICKS_PER_S: f64 = 100.0;
 /// Size of a memory page, in bytes.
 const PAGE_BYTES: u64 = 4_096;
-/// Timeout for a process to become ready.
+/// Timeout for an entry to discover all targets.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Role of a process in a fleet.
@@ -118,6 +118,7 @@
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let after_name = stat.rsplit_once(") ").map_or("", |(_, rest)| rest);
         let fields: Vec<&str> = after_name.split(' ').collect();
+        // Ticks in user and kernel mode; the index counts from the state, which follows the name.
         let ticks: f64 =
             [11, 12].iter().filter_map(|&field| fields.get(field)?.parse::<f64>().ok()).sum();
         Ok(Duration::from_secs_f64(ticks / TICKS_PER_S))
@@ -185,7 +186,7 @@
     ///
     /// # Errors
     ///
-    /// A program hasn't been built, or doesn't become ready in time.
+    /// A program hasn't been built, or an entry isn't ready within the timeout.
     pub async fn start(plan: FleetPlan) -> Result<Self, LabError> {
         let mut fleet = Self::start_all(plan).await?;
         fleet.wait_ready().await?;
--- a/crates/teaseltrack-lab/src/report.rs
+++ b/crates/teaseltrack-lab/src/report.rs
@@ -48,7 +48,8 @@
     }
 }
 
-/// Returns the median, the upper one of an even number of values; NaN if there are none.
+/// Returns the median, or the upper of the two middle values if their number is even; NaN if there
+/// are no values.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
--- a/crates/teaseltrack-lab/src/target.rs
+++ b/crates/teaseltrack-lab/src/target.rs
@@ -2,7 +2,7 @@
 //!
 //! The response contains the identifier of its request, so that callers can detect mismatched
 //! responses. Each request is recorded in the ledger before it is executed. Faults can be injected:
-//! latency, errors, and connections that are closed before or within a response.
+//! latency, errors, and connections that are closed before or during a response.
 
 use std::{
     net::SocketAddr,
@@ -64,7 +64,7 @@
     pub error_ratio: f64,
     /// Fraction of requests whose connection is closed after execution, before the response.
     pub cut_before_ratio: f64,
-    /// Fraction of requests whose connection is closed within the response.
+    /// Fraction of requests whose connection is closed during the response.
     pub cut_within_ratio: f64,
 }
 
@@ -211,6 +211,7 @@
         if random_bool(behaviour.cut_before_ratio) {
             return None;
         }
+        // The padding has the length of the request body, or N bytes for the query `bytes=N`.
         let query = parts.uri.query().unwrap_or_default();
         let padding = query.strip_prefix("bytes=").and_then(|bytes| bytes.parse().ok());
         let mut text = request_id.as_bytes().to_vec();
--- a/crates/teaseltrack-lab/src/worker.rs
+++ b/crates/teaseltrack-lab/src/worker.rs
@@ -242,6 +242,7 @@
     fn stop(&mut self, request: StopRequest) -> HandlerResult {
         self.check_holder(request.holder)?;
         self.step();
+        // A stop received before its start is recorded, so that the start doesn't run the attempt.
         let attempt = self.attempts.entry(request.key.clone()).or_insert(Attempt {
             state: WorkerAttemptState::Stopped,
             progress_ms: 0.0,
@@ -253,12 +254,12 @@
             attempt.state = WorkerAttemptState::Stopped;
         }
         let state = attempt.state.clone();
-        let is_known = attempt.run_ms > 0.0;
+        let was_started = attempt.run_ms > 0.0;
         let progress_ms = attempt.progress_ms;
         if was_running {
             self.record_halted(&request.key, progress_ms, false);
         }
-        let checkpoint = (request.is_checkpointed && is_known).then(|| progress_ms.to_string());
+        let checkpoint = (request.is_checkpointed && was_started).then(|| progress_ms.to_string());
         json_ok(&StopResponse { state, checkpoint })
     }
 
--- a/crates/teaseltrack-node/src/configuration.rs
+++ b/crates/teaseltrack-node/src/configuration.rs
@@ -70,10 +70,11 @@
             return false;
         };
         let next_after = page.next_after();
-        let is_higher = node.request(|reply| NodeMessage::Apply(page, reply)).await == Some(true);
+        let has_increased =
+            node.request(|reply| NodeMessage::Apply(page, reply)).await == Some(true);
         match next_after {
             Some(next) => after = next,
-            None => return is_higher,
+            None => return has_increased,
         }
     }
 }
--- a/crates/teaseltrack-node/src/control_server.rs
+++ b/crates/teaseltrack-node/src/control_server.rs
@@ -77,6 +77,7 @@
 
 impl Control for ControlServer {
     async fn probe(self, _: Context, gossip: Gossip) -> Gossip {
+        // If the node's task has ended, the peer gets its own message back.
         let fallback = gossip.clone();
         self.node
             .request(|reply| NodeMessage::ProbeReceived(gossip, reply))
--- a/crates/teaseltrack-node/src/gossip.rs
+++ b/crates/teaseltrack-node/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip between instances: periodic probes of random peers, and immediate pushes of updates.
+//! Gossip between instances: periodic probes of peers in random order, and immediate pushes of
+//! updates.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -22,7 +23,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of an indirect probe and of an anti-entropy exchange.
 const INDIRECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Number of peers that are requested to probe a peer that failed a direct probe.
+/// Number of peers through which a peer is probed indirectly after a failed direct probe.
 const INDIRECT_PROBES: usize = 2;
 /// Number of random peers to which an update is pushed.
 const PUSH_PEERS: usize = 3;
@@ -33,7 +34,7 @@
 /// Maximum factor applied to the probe period.
 const MAX_JITTER_FACTOR: f64 = 1.2;
 
-/// Probes a random peer per jittered period until `closing` is cancelled.
+/// Probes one peer per period until `closing` is cancelled; the period is jittered by 20%.
 pub async fn run_gossip(
     node: NodeHandle,
     clients: ControlClients,
--- a/crates/teaseltrack-node/src/node.rs
+++ b/crates/teaseltrack-node/src/node.rs
@@ -33,7 +33,7 @@
 pub enum NodeMessage {
     /// Processes a peer's probe; replies with its acknowledgement.
     ProbeReceived(Gossip, oneshot::Sender<Gossip>),
-    /// Returns the message for a probe of a peer.
+    /// Returns the gossip to send to a peer with a probe.
     Gossip(oneshot::Sender<Gossip>),
     /// Processes a peer's acknowledgement of a probe; replies with the actions to take.
     ProbeAcknowledged(Gossip, oneshot::Sender<FollowUp>),
@@ -243,6 +243,7 @@
     fn follow_up(&mut self, gossip: &Gossip) -> FollowUp {
         let is_same = self.membership.digest_hash() == gossip.digest_hash;
         self.digest_mismatches = if is_same { 0 } else { self.digest_mismatches + 1 };
+        // With at most one peer present, this instance has probably only started to join.
         let is_joining = self.membership.present().nth(2).is_none();
         let is_due = self.digest_mismatches >= EXCHANGE_THRESHOLD || (is_joining && !is_same);
         if is_due {
--- a/crates/teaseltrack-node/src/settings.rs
+++ b/crates/teaseltrack-node/src/settings.rs
@@ -11,7 +11,7 @@
 pub struct ControlSettings {
     /// Listen address for control calls, `IP:port`.
     pub address: SocketAddr,
-    /// Control addresses of known instances, used as seeds in addition to those in the store.
+    /// Control addresses of instances to join through, in addition to the seed rows in the store.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Average interval between probes, in milliseconds.
--- a/crates/teaseltrack-node/src/start.rs
+++ b/crates/teaseltrack-node/src/start.rs
@@ -42,7 +42,7 @@
     pub clients: ControlClients,
     /// Bytes transferred by control calls.
     pub control_bytes: Arc<ByteCount>,
-    /// Graceful shutdown.
+    /// Signals of the graceful shutdown.
     pub shutdown: Shutdown,
 }
 
