--- a/crates/teaseltrack-lab/src/experiments/chaos.rs
+++ b/crates/teaseltrack-lab/src/experiments/chaos.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     LabError,
-    experiments::soak::{JOB_TASKS, explain_duplicated, explain_unfinished, submit_jobs},
+    experiments::soak::{JOB_TASKS, print_duplicated, print_unfinished, submit_jobs},
     fleet::{FleetPlan, wait_until},
     load::{LoadPlan, RequestOutcome, send_load},
     operator::Operator,
@@ -22,11 +22,11 @@
 /// Agents, each with a target and a worker.
 const AGENTS: usize = 4;
 /// Time for which faults come.
-const CHAOS_TIME: Duration = Duration::from_secs(60);
+const INJECTION_DURATION: Duration = Duration::from_secs(60);
 /// Time for everything to end well afterwards.
-const HEAL_TIMEOUT: Duration = Duration::from_secs(90);
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(90);
 /// Time for a planned stop.
-const STOP_TIMEOUT: Duration = Duration::from_secs(40);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Faults that are injected, each as likely as the others.
 const FAULTS: [Fault; 8] = [
@@ -37,7 +37,7 @@
     Fault::KillEntry,
     Fault::StopAgent,
     Fault::StoreOutage,
-    Fault::LostAnswers,
+    Fault::LostResponses,
 ];
 
 #[derive(Clone, Copy, Debug)]
@@ -49,7 +49,7 @@
     KillEntry,
     StopAgent,
     StoreOutage,
-    LostAnswers,
+    LostResponses,
 }
 
 struct Chaos {
@@ -74,23 +74,24 @@
         addresses: vec![fleet.plan.caller_address(0)],
         name: "chaos".to_owned(),
         rate_per_s: 60.0,
-        duration: CHAOS_TIME,
+        duration: INJECTION_DURATION,
         seed,
         ..LoadPlan::default()
     };
-    let loading = tokio::spawn(send_load(load));
-    let submitting = tokio::spawn(submit_jobs(operator.clone(), Instant::now() + CHAOS_TIME));
+    let load_task = tokio::spawn(send_load(load));
+    let submit_task =
+        tokio::spawn(submit_jobs(operator.clone(), Instant::now() + INJECTION_DURATION));
     let rng = ChaCha8Rng::seed_from_u64(seed);
     let mut chaos = Chaos { fleet, rng, killed_workers: Vec::new(), faults: 0 };
     let started_at = Instant::now();
-    while started_at.elapsed() < CHAOS_TIME {
+    while started_at.elapsed() < INJECTION_DURATION {
         chaos.inject().await?;
     }
-    let result = loading.await?;
-    let jobs = submitting.await?;
+    let result = load_task.await?;
+    let jobs = submit_task.await?;
     let expected = jobs.len() * JOB_TASKS as usize;
     let Chaos { fleet, killed_workers, faults, .. } = chaos;
-    let is_done = wait_until(HEAL_TIMEOUT, || async {
+    let is_done = wait_until(COMPLETION_TIMEOUT, || async {
         fleet.ledger.tasks(&killed_workers).done.len() >= expected
     })
     .await;
@@ -109,7 +110,7 @@
     report.count("attempts", tasks.attempts.len() as u64);
     report.count("resumed", tasks.resumed.len() as u64);
     report.count("history_entries", verified.iter().map(|stream| stream.entries).sum());
-    let broken = [
+    let violations = [
         ("lost", verdict.lost),
         ("wrong", verdict.mismatched),
         ("false_not_run", verdict.false_not_run),
@@ -119,12 +120,12 @@
         ("tasks_in_two_places", tasks.in_two_places),
         ("attempts_repeated", tasks.attempts_repeated),
     ];
-    for (name, count) in broken {
+    for (name, count) in violations {
         report.count(name, count);
     }
-    explain_duplicated(&fleet.ledger, &killed_workers, &operator).await;
+    print_duplicated(&fleet.ledger, &killed_workers, &operator).await;
     if !is_done {
-        explain_unfinished(&fleet, &operator, &jobs).await;
+        print_unfinished(&fleet, &operator, &jobs).await;
     }
     Ok(())
 }
@@ -135,7 +136,7 @@
         let fault = FAULTS[self.rng.random_range(0..FAULTS.len())];
         let index = self.rng.random_range(0..AGENTS);
         let pause = Duration::from_millis(self.rng.random_range(100..1_500));
-        let long = Duration::from_millis(self.rng.random_range(200..6_000));
+        let fault_duration = Duration::from_millis(self.rng.random_range(200..6_000));
         self.faults += 1;
         match fault {
             Fault::KillAgent => {
@@ -145,7 +146,7 @@
             }
             Fault::FreezeAgent => {
                 self.fleet.agents[index].signal(Signal::SIGSTOP);
-                sleep(long).await;
+                sleep(fault_duration).await;
                 self.fleet.agents[index].signal(Signal::SIGCONT);
             }
             Fault::KillWorker => {
@@ -165,20 +166,20 @@
                 self.fleet.entries[1] = self.fleet.spawn_entry(1)?;
             }
             Fault::StopAgent => {
-                self.fleet.agents[index].stop(STOP_TIMEOUT).await;
+                self.fleet.agents[index].stop(SHUTDOWN_TIMEOUT).await;
                 self.fleet.agents[index] = self.fleet.spawn_agent(index)?;
             }
             Fault::StoreOutage => {
                 let outage =
                     if pause.as_millis().is_multiple_of(2) { Outage::Silent } else { Outage::Cut };
                 self.fleet.platform.set_faults(Faults { outage, ..Faults::default() });
-                sleep(long).await;
+                sleep(fault_duration).await;
                 self.fleet.platform.set_faults(Faults::default());
             }
-            Fault::LostAnswers => {
+            Fault::LostResponses => {
                 let faults = Faults { lost_response_ratio: 0.4, ..Faults::default() };
                 self.fleet.platform.set_faults(faults);
-                sleep(long).await;
+                sleep(fault_duration).await;
                 self.fleet.platform.set_faults(Faults::default());
             }
         }
--- a/crates/teaseltrack-lab/src/experiments/drain.rs
+++ b/crates/teaseltrack-lab/src/experiments/drain.rs
@@ -1,4 +1,4 @@
-//! Rolling planned stops of every process under load: nothing is cut off.
+//! Rolling planned stops of every process under load: nothing is connect_failed off.
 
 use std::time::{Duration, Instant};
 
@@ -17,13 +17,13 @@
 /// Requests a second.
 const RATE_PER_S: f64 = 200.0;
 /// Time of the load.
-const LOAD_TIME: Duration = Duration::from_secs(32);
+const LOAD_DURATION: Duration = Duration::from_secs(32);
 /// Time between planned stops.
-const PAUSE: Duration = Duration::from_secs(2);
+const SHUTDOWN_INTERVAL: Duration = Duration::from_secs(2);
 /// Time for a planned stop.
-const STOP_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time after which a leaving target gets no new work.
-const LEAVE_TIME: Duration = Duration::from_secs(3);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time after which a draining target gets no new work.
+const DRAIN_NOTICE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Targets.
 const AGENTS: usize = 3;
 
@@ -43,58 +43,58 @@
         addresses: vec![fleet.plan.caller_address(0)],
         name: "drain".to_owned(),
         rate_per_s: RATE_PER_S,
-        duration: LOAD_TIME,
+        duration: LOAD_DURATION,
         seed,
         ..LoadPlan::default()
     };
-    let to_stopping = LoadPlan {
+    let entry_load = LoadPlan {
         addresses: vec![fleet.plan.caller_address(1)],
         name: "entry".to_owned(),
         ..load.clone()
     };
-    let loading = tokio::spawn(send_load(load));
+    let load_task = tokio::spawn(send_load(load));
     let (mut accepted_after_drain, mut stops) = (0, 0);
     for index in 0..AGENTS {
-        let left_at = Instant::now();
-        stops += u64::from(fleet.targets[index].stop(STOP_TIMEOUT).await);
-        accepted_after_drain += late_starts(&fleet, index, left_at);
+        let drain_started_at = Instant::now();
+        stops += u64::from(fleet.targets[index].stop(SHUTDOWN_TIMEOUT).await);
+        accepted_after_drain += count_late_starts(&fleet, index, drain_started_at);
         fleet.targets[index] = fleet.spawn_target(index)?;
-        sleep(PAUSE).await;
-        stops += u64::from(fleet.agents[index].stop(STOP_TIMEOUT).await);
+        sleep(SHUTDOWN_INTERVAL).await;
+        stops += u64::from(fleet.agents[index].stop(SHUTDOWN_TIMEOUT).await);
         fleet.agents[index] = fleet.spawn_agent(index)?;
-        sleep(PAUSE).await;
+        sleep(SHUTDOWN_INTERVAL).await;
     }
-    let short = LoadPlan { duration: Duration::from_millis(900), ..to_stopping };
-    let loading_entry = tokio::spawn(send_load(short));
+    let short_load = LoadPlan { duration: Duration::from_millis(900), ..entry_load };
+    let entry_load_task = tokio::spawn(send_load(short_load));
     sleep(Duration::from_millis(100)).await;
-    stops += u64::from(fleet.entries[1].stop(STOP_TIMEOUT).await);
-    let at_entry = loading_entry.await?;
-    let result = loading.await?;
-    let ran = fleet.ledger.requests();
-    let verdict = result.verdict(&ran);
-    let entry_verdict = at_entry.verdict(&ran);
+    stops += u64::from(fleet.entries[1].stop(SHUTDOWN_TIMEOUT).await);
+    let entry_result = entry_load_task.await?;
+    let result = load_task.await?;
+    let executed = fleet.ledger.requests();
+    let verdict = result.verdict(&executed);
+    let entry_verdict = entry_result.verdict(&executed);
     report.count("stops", stops);
-    report.count("requests", (result.requests.len() + at_entry.requests.len()) as u64);
+    report.count("requests", (result.requests.len() + entry_result.requests.len()) as u64);
     report.count("answered", verdict.answered + entry_verdict.answered);
     report.count("not_run", verdict.not_run + entry_verdict.not_run);
     let interrupted = |verdict: crate::load::Verdict| {
         verdict.unknown + verdict.truncated + verdict.lost + verdict.mismatched
     };
-    let cut =
-        result.count(RequestOutcome::ConnectFailed) + at_entry.count(RequestOutcome::ConnectFailed);
-    report.count("interrupted", interrupted(verdict) + interrupted(entry_verdict) + cut);
+    let connect_failed = result.count(RequestOutcome::ConnectFailed)
+        + entry_result.count(RequestOutcome::ConnectFailed);
+    report.count("interrupted", interrupted(verdict) + interrupted(entry_verdict) + connect_failed);
     report.count("accepted_after_drain", accepted_after_drain);
     report.count("duplicated", verdict.duplicated);
     report.count("false_not_run", verdict.false_not_run + entry_verdict.false_not_run);
     Ok(())
 }
 
-/// Requests that a leaving target began after the leaving time, until now.
-fn late_starts(fleet: &ProcessFleet, index: usize, left_at: Instant) -> u64 {
-    let leaving = fleet.plan.target_address(index);
+/// Requests that a draining target began after the draining time, until now.
+fn count_late_starts(fleet: &ProcessFleet, index: usize, drain_started_at: Instant) -> u64 {
+    let draining = fleet.plan.target_address(index);
     let started_late = |(at, event): &(Instant, LedgerEvent)| {
-        matches!(event, LedgerEvent::RequestStarted { target, .. } if *target == leaving)
-            && *at > left_at + LEAVE_TIME
+        matches!(event, LedgerEvent::RequestStarted { target, .. } if *target == draining)
+            && *at > drain_started_at + DRAIN_NOTICE_TIMEOUT
     };
     fleet.ledger.events().iter().filter(|event| started_late(event)).count() as u64
 }
--- a/crates/teaseltrack-lab/src/experiments/flood.rs
+++ b/crates/teaseltrack-lab/src/experiments/flood.rs
@@ -14,7 +14,7 @@
 };
 
 /// Time of one load.
-const LOAD_TIME: Duration = Duration::from_secs(8);
+const LOAD_DURATION: Duration = Duration::from_secs(8);
 /// Targets.
 const AGENTS: usize = 2;
 /// Time that each request takes, in milliseconds.
@@ -24,7 +24,7 @@
 /// Flood over capacity.
 const FLOOD_RATIO: f64 = 10.0;
 /// Time-out of all requests.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// RFC 9218 urgency of the most urgent, the normal and the least urgent class.
 const URGENCIES: [u32; 3] = [0, 3, 7];
 
@@ -44,23 +44,23 @@
     let fleet = Fleet::start(plan).await?;
     Operator::new(fleet.plan.operator_address(0), "lab").submit_service("tickets", 1_000).await?;
     wait_ready(&fleet).await?;
-    let ways = [("", true), ("fifo_", false)];
-    for (prefix, has_classes) in ways {
-        let quiet = send_all(&fleet, capacity_per_s, None, has_classes, seed).await;
+    let modes = [("", true), ("fifo_", false)];
+    for (prefix, has_classes) in modes {
+        let baseline = send_all(&fleet, capacity_per_s, None, has_classes, seed).await;
         for (name, flooding) in [("least_urgent", 2), ("most_urgent", 0)] {
             let flooded =
                 send_all(&fleet, capacity_per_s, Some(flooding), has_classes, seed + 1).await;
             let others = (0..URGENCIES.len()).filter(|class| *class != flooding);
-            let (mut kept, mut before) = (0, 0);
+            let (mut answered_in_flood, mut answered_in_baseline) = (0, 0);
             for class in others {
-                kept += flooded[class].count(RequestOutcome::Answered);
-                before += quiet[class].count(RequestOutcome::Answered);
+                answered_in_flood += flooded[class].count(RequestOutcome::Answered);
+                answered_in_baseline += baseline[class].count(RequestOutcome::Answered);
             }
-            let ratio = kept as f64 / before as f64;
+            let ratio = answered_in_flood as f64 / answered_in_baseline as f64;
             report.set(&format!("{prefix}goodput_ratio_{name}_flood"), ratio);
             let answered: u64 =
                 flooded.iter().map(|load| load.count(RequestOutcome::Answered)).sum();
-            let per_s = answered as f64 / LOAD_TIME.as_secs_f64();
+            let per_s = answered as f64 / LOAD_DURATION.as_secs_f64();
             report.set(&format!("{prefix}goodput_per_s_{name}_flood"), per_s);
         }
     }
@@ -88,8 +88,8 @@
                 .collect(),
             name,
             rate_per_s: capacity_per_s * ratio,
-            duration: LOAD_TIME,
-            timeout: TIMEOUT,
+            duration: LOAD_DURATION,
+            timeout: REQUEST_TIMEOUT,
             urgency: if has_classes { URGENCIES[class] } else { 3 },
             seed,
             ..LoadPlan::default()
--- a/crates/teaseltrack-lab/src/experiments/kill.rs
+++ b/crates/teaseltrack-lab/src/experiments/kill.rs
@@ -15,13 +15,13 @@
 };
 
 /// Time of the load.
-const LOAD_TIME: Duration = Duration::from_secs(30);
+const LOAD_DURATION: Duration = Duration::from_secs(30);
 /// Requests a second.
 const RATE_PER_S: f64 = 200.0;
 /// Time between faults.
-const FAULT_PERIOD: Duration = Duration::from_secs(5);
+const FAULT_INTERVAL: Duration = Duration::from_secs(5);
 /// Time for which a process is frozen.
-const FREEZE: Duration = Duration::from_secs(3);
+const FREEZE_DURATION: Duration = Duration::from_secs(3);
 /// Targets.
 const AGENTS: usize = 5;
 
@@ -40,13 +40,13 @@
         addresses: (0..fleet.plan.entries).map(|entry| fleet.plan.caller_address(entry)).collect(),
         name: "kill".to_owned(),
         rate_per_s: RATE_PER_S,
-        duration: LOAD_TIME,
+        duration: LOAD_DURATION,
         seed,
         ..LoadPlan::default()
     };
-    let loading = tokio::spawn(send_load(load));
+    let load_task = tokio::spawn(send_load(load));
     let faults = inject(&mut fleet).await?;
-    let result = loading.await?;
+    let result = load_task.await?;
     let verdict = result.verdict(&fleet.ledger.requests());
     report.count("requests", result.requests.len() as u64);
     report.count("answered", verdict.answered);
@@ -59,8 +59,9 @@
     report.count("duplicated", verdict.duplicated);
     report.count("false_not_run", verdict.false_not_run);
     report.count("over_capacity", verdict.over_capacity);
-    for (name, at) in faults {
-        report.set(&format!("recovery_s_{name}"), recovery(&result, at).as_secs_f64());
+    for (name, injected_at) in faults {
+        report
+            .set(&format!("recovery_s_{name}"), recovery_time(&result, injected_at).as_secs_f64());
     }
     Ok(())
 }
@@ -68,37 +69,37 @@
 /// Kills and freezes one of each; the names of the faults and when they came.
 async fn inject(fleet: &mut ProcessFleet) -> Result<Vec<(&'static str, Instant)>, LabError> {
     let mut faults = Vec::new();
-    sleep(FAULT_PERIOD).await;
+    sleep(FAULT_INTERVAL).await;
     faults.push(("agent_killed", Instant::now()));
     fleet.agents[0].kill();
-    sleep(FAULT_PERIOD).await;
+    sleep(FAULT_INTERVAL).await;
     fleet.agents[0] = fleet.spawn_agent(0)?;
     faults.push(("target_killed", Instant::now()));
     fleet.targets[1].kill();
-    sleep(FAULT_PERIOD).await;
+    sleep(FAULT_INTERVAL).await;
     fleet.targets[1] = fleet.spawn_target(1)?;
     faults.push(("agent_frozen", Instant::now()));
     fleet.agents[2].signal(Signal::SIGSTOP);
-    sleep(FREEZE).await;
+    sleep(FREEZE_DURATION).await;
     fleet.agents[2].signal(Signal::SIGCONT);
-    sleep(FAULT_PERIOD - FREEZE).await;
+    sleep(FAULT_INTERVAL - FREEZE_DURATION).await;
     faults.push(("target_frozen", Instant::now()));
     fleet.targets[3].signal(Signal::SIGSTOP);
-    sleep(FREEZE).await;
+    sleep(FREEZE_DURATION).await;
     fleet.targets[3].signal(Signal::SIGCONT);
     Ok(faults)
 }
 
 /// Time from the fault to the sending of the last request before the next fault that wasn't answered.
-fn recovery(result: &LoadResult, at: Instant) -> Duration {
-    let window = at..at + FAULT_PERIOD;
+fn recovery_time(result: &LoadResult, injected_at: Instant) -> Duration {
+    let window = injected_at..injected_at + FAULT_INTERVAL;
     result
         .requests
         .iter()
         .filter(|request| {
             window.contains(&request.sent_at) && request.outcome != RequestOutcome::Answered
         })
-        .map(|request| request.sent_at.duration_since(at))
+        .map(|request| request.sent_at.duration_since(injected_at))
         .max()
         .unwrap_or(Duration::ZERO)
 }
--- a/crates/teaseltrack-lab/src/experiments/outage.rs
+++ b/crates/teaseltrack-lab/src/experiments/outage.rs
@@ -15,15 +15,15 @@
 };
 
 /// Time for which the store is gone.
-const OUTAGE: Duration = Duration::from_secs(60);
+const OUTAGE_DURATION: Duration = Duration::from_secs(60);
 /// Time of the load before and after.
-const AROUND: Duration = Duration::from_secs(5);
+const LOAD_MARGIN: Duration = Duration::from_secs(5);
 /// Tasks that run when the store goes.
 const TASKS: u32 = 40;
 /// Run time of a task, longer than the outage, in milliseconds.
 const RUN_MS: u64 = 40_000;
 /// Time for all tasks to finish.
-const FINISH_TIMEOUT: Duration = Duration::from_secs(120);
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Runs the experiment.
 ///
@@ -46,28 +46,28 @@
     let load = LoadPlan {
         addresses: (0..fleet.plan.entries).map(|entry| fleet.plan.caller_address(entry)).collect(),
         name: "outage".to_owned(),
-        duration: AROUND + OUTAGE + AROUND,
+        duration: LOAD_MARGIN + OUTAGE_DURATION + LOAD_MARGIN,
         seed,
         ..LoadPlan::default()
     };
-    let loading = tokio::spawn(send_load(load));
-    sleep(AROUND).await;
+    let load_task = tokio::spawn(send_load(load));
+    sleep(LOAD_MARGIN).await;
     let silent = Faults { outage: Outage::Silent, ..Faults::default() };
     fleet.platform.set_faults(silent);
-    sleep(OUTAGE).await;
+    sleep(OUTAGE_DURATION).await;
     fleet.platform.set_faults(Faults::default());
-    let back_at = Instant::now();
+    let restored_at = Instant::now();
     operator.submit_job("after", LabJob { tasks: 1, run_ms: 100, ..job }).await?;
-    let is_recovered = wait_until(FINISH_TIMEOUT, || async {
+    let is_recovered = wait_until(COMPLETION_TIMEOUT, || async {
         fleet.ledger.tasks(&[]).done.contains_key("after/0")
     })
     .await;
-    report.set("recovery_s", back_at.elapsed().as_secs_f64());
-    let is_done = wait_until(FINISH_TIMEOUT, || async {
+    report.set("recovery_s", restored_at.elapsed().as_secs_f64());
+    let is_done = wait_until(COMPLETION_TIMEOUT, || async {
         fleet.ledger.tasks(&[]).done.len() > TASKS as usize
     })
     .await;
-    let result = loading.await?;
+    let result = load_task.await?;
     let verdict = result.verdict(&fleet.ledger.requests());
     let tasks = fleet.ledger.tasks(&[]);
     report.count("is_recovered", u64::from(is_recovered && is_done));
--- a/crates/teaseltrack-lab/src/experiments/overhead.rs
+++ b/crates/teaseltrack-lab/src/experiments/overhead.rs
@@ -14,11 +14,11 @@
 /// Rounds of each way, alternating.
 const ROUNDS: u64 = 3;
 /// Time of one round.
-const ROUND: Duration = Duration::from_secs(4);
+const ROUND_DURATION: Duration = Duration::from_secs(4);
 /// Time that each request takes at the target, in milliseconds.
 const SERVICE_TIME_MS: f64 = 5.0;
 /// Share of the targets' capacity that is used.
-const LOAD_RATIO: f64 = 0.5;
+const UTILIZATION: f64 = 0.5;
 /// Targets; with one, both ways queue alike and differ only in the path.
 const AGENTS: usize = 1;
 
@@ -29,53 +29,54 @@
 /// The fleet can't be started.
 pub async fn run(seed: u64, report: &mut Report) -> Result<(), LabError> {
     let plan = FleetPlan { entries: 1, agents: AGENTS, ..FleetPlan::default() };
-    let rate_per_s = LOAD_RATIO * AGENTS as f64 * f64::from(plan.slots) * 1_000.0 / SERVICE_TIME_MS;
+    let rate_per_s =
+        UTILIZATION * AGENTS as f64 * f64::from(plan.slots) * 1_000.0 / SERVICE_TIME_MS;
     let fleet = ProcessFleet::start(plan).await?;
     let plan = &fleet.plan;
     Operator::new(plan.operator_address(0), "lab").submit_service("tickets", 2_000).await?;
-    let through = LoadPlan {
+    let through_plan = LoadPlan {
         addresses: vec![plan.caller_address(0)],
         name: "through".to_owned(),
         rate_per_s,
-        duration: ROUND,
+        duration: ROUND_DURATION,
         ..LoadPlan::default()
     };
-    let direct = LoadPlan {
+    let direct_plan = LoadPlan {
         addresses: (0..AGENTS).map(|index| plan.target_address(index)).collect(),
         prefix: String::new(),
         name: "direct".to_owned(),
-        ..through.clone()
+        ..through_plan.clone()
     };
     let warm_up =
-        LoadPlan { duration: Duration::from_secs(1), name: "warm".into(), ..through.clone() };
+        LoadPlan { duration: Duration::from_secs(1), name: "warm".into(), ..through_plan.clone() };
     send_load(warm_up).await;
     let mut ratios = [Vec::new(), Vec::new()];
-    let (mut entry_us, mut agent_us) = (Vec::new(), Vec::new());
+    let (mut entry_cpu_us, mut agent_cpu_us) = (Vec::new(), Vec::new());
     for round in 0..ROUNDS {
         let seed = seed * 1_000 + round;
-        let baseline = send_load(LoadPlan { seed, ..direct.clone() }).await;
+        let direct = send_load(LoadPlan { seed, ..direct_plan.clone() }).await;
         let before = (cpu_us(&fleet.entries), cpu_us(&fleet.agents));
-        let ours = send_load(LoadPlan { seed, ..through.clone() }).await;
+        let through = send_load(LoadPlan { seed, ..through_plan.clone() }).await;
         let after = (cpu_us(&fleet.entries), cpu_us(&fleet.agents));
-        let requests = ours.requests.len() as f64;
-        entry_us.push((after.0 - before.0) / requests);
-        agent_us.push((after.1 - before.1) / requests);
+        let requests = through.requests.len() as f64;
+        entry_cpu_us.push((after.0 - before.0) / requests);
+        agent_cpu_us.push((after.1 - before.1) / requests);
         for (values, quantile) in ratios.iter_mut().zip([0.5, 0.99]) {
-            values.push(ours.latency_ms(quantile) / baseline.latency_ms(quantile));
+            values.push(through.latency_ms(quantile) / direct.latency_ms(quantile));
         }
-        note(report, round, &baseline, &ours);
+        report_round(report, round, &direct, &through);
     }
     let [p50_ratios, p99_ratios] = ratios;
     report.set("p50_ratio", median(p50_ratios));
     report.set("p99_ratio", median(p99_ratios));
-    report.set("entry_cpu_us_per_request", median(entry_us));
-    report.set("agent_cpu_us_per_request", median(agent_us));
+    report.set("entry_cpu_us_per_request", median(entry_cpu_us));
+    report.set("agent_cpu_us_per_request", median(agent_cpu_us));
     Ok(())
 }
 
-fn note(report: &mut Report, round: u64, baseline: &LoadResult, ours: &LoadResult) {
-    report.set(&format!("round_{round}_direct_p99_ms"), baseline.latency_ms(0.99));
-    report.set(&format!("round_{round}_through_p99_ms"), ours.latency_ms(0.99));
+fn report_round(report: &mut Report, round: u64, direct: &LoadResult, through: &LoadResult) {
+    report.set(&format!("round_{round}_direct_p99_ms"), direct.latency_ms(0.99));
+    report.set(&format!("round_{round}_through_p99_ms"), through.latency_ms(0.99));
 }
 
 fn cpu_us(processes: &[Process]) -> f64 {
--- a/crates/teaseltrack-lab/src/experiments/slopes.rs
+++ b/crates/teaseltrack-lab/src/experiments/slopes.rs
@@ -30,11 +30,11 @@
 /// Entries at each size.
 const ENTRIES: usize = 2;
 /// Time for which a fleet is left alone while its cost is measured.
-const QUIET: Duration = Duration::from_secs(12);
+const IDLE_DURATION: Duration = Duration::from_secs(12);
 /// Time for a fleet to find itself and settle.
-const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
+const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time for changes to spread.
-const SPREAD_TIMEOUT: Duration = Duration::from_secs(20);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(20);
 /// Changes whose spread is measured.
 const CHANGES: usize = 5;
 /// Records submitted to measure what one costs in memory.
@@ -70,11 +70,11 @@
         workers.push(Worker::start(fleet.plan.worker_options(index), ledger.sender()).await?);
     }
     let members = (size + ENTRIES) as u64;
-    wait_for(&fleet, "members", members, SETTLE_TIMEOUT).await?;
+    wait_for_status(&fleet, "members", members, MEMBERSHIP_TIMEOUT).await?;
     report.set(&format!("membership_complete_s_at_{size}"), started_at.elapsed().as_secs_f64());
     sleep(Duration::from_secs(5)).await;
-    measure_quiet(&fleet, size, report).await;
-    measure_config(&fleet, size, seed, report).await?;
+    measure_idle(&fleet, size, report).await;
+    measure_configuration(&fleet, size, seed, report).await?;
     measure_membership(&fleet, size, report).await?;
     if size == SIZES[0] {
         measure_records(&fleet, report).await?;
@@ -84,15 +84,15 @@
 }
 
 /// Processor time, memory, bytes and calls while nothing happens.
-async fn measure_quiet(fleet: &ProcessFleet, size: usize, report: &mut Report) {
+async fn measure_idle(fleet: &ProcessFleet, size: usize, report: &mut Report) {
     let before = statuses(&fleet.plan).await;
     let cpu_before = (cpu_s(&fleet.entries), cpu_s(&fleet.agents));
-    let served_before = fleet.platform.call_counts();
-    sleep(QUIET).await;
+    let calls_before = fleet.platform.call_counts();
+    sleep(IDLE_DURATION).await;
     let after = statuses(&fleet.plan).await;
     let cpu_after = (cpu_s(&fleet.entries), cpu_s(&fleet.agents));
-    let served_after = fleet.platform.call_counts();
-    let quiet_s = QUIET.as_secs_f64();
+    let calls_after = fleet.platform.call_counts();
+    let idle_s = IDLE_DURATION.as_secs_f64();
     let bytes = |statuses: &[Value]| -> f64 {
         statuses
             .iter()
@@ -103,43 +103,43 @@
             .sum()
     };
     let agents = size as f64;
-    let bytes_per_s = (bytes(&after) - bytes(&before)) / quiet_s / agents;
+    let bytes_per_s = (bytes(&after) - bytes(&before)) / idle_s / agents;
     report.set(&format!("control_bytes_per_s_at_{size}"), bytes_per_s);
-    let percent = |seconds: f64, count: f64| 100.0 * seconds / quiet_s / count;
+    let percent = |seconds: f64, count: f64| 100.0 * seconds / idle_s / count;
     let agent_percent = percent(cpu_after.1 - cpu_before.1, agents);
     report.set(&format!("control_cpu_percent_at_{size}"), agent_percent);
     let entry_percent = percent(cpu_after.0 - cpu_before.0, ENTRIES as f64);
     report.set(&format!("entry_cpu_percent_at_{size}"), entry_percent);
     report.set(&format!("agent_idle_rss_mb_at_{size}"), memory_mb(&fleet.agents));
     report.set(&format!("entry_idle_rss_mb_at_{size}"), memory_mb(&fleet.entries));
-    let per_s = |after: u64, before: u64| (after - before) as f64 / quiet_s;
-    let writes = per_s(served_after.writes, served_before.writes);
+    let per_s = |after: u64, before: u64| (after - before) as f64 / idle_s;
+    let writes = per_s(calls_after.writes, calls_before.writes);
     report.set(&format!("table_writes_per_s_at_{size}"), writes);
-    let reads = per_s(served_after.reads, served_before.reads);
+    let reads = per_s(calls_after.reads, calls_before.reads);
     report.set(&format!("table_reads_per_s_at_{size}"), reads);
-    for (prefix, count) in &served_after.by_prefix {
-        let before = served_before.by_prefix.get(prefix).copied().unwrap_or(0);
+    for (prefix, count) in &calls_after.by_prefix {
+        let before = calls_before.by_prefix.get(prefix).copied().unwrap_or(0);
         report.set(&format!("table_{prefix}_calls_per_s_at_{size}"), per_s(*count, before));
     }
 }
 
 /// Time from the acceptance of a record until it is in force everywhere.
-async fn measure_config(
+async fn measure_configuration(
     fleet: &ProcessFleet,
     size: usize,
     seed: u64,
     report: &mut Report,
 ) -> Result<(), LabError> {
     let operator = Operator::new(fleet.plan.operator_address(0), "lab");
-    let mut spreads_s = Vec::new();
+    let mut propagation_s = Vec::new();
     for change in 0..CHANGES {
         let name = format!("service-{seed}-{change}");
         let record = operator.submit_service(&name, 1_000).await?;
         let accepted_at = Instant::now();
-        wait_for(fleet, "revision", record.revision, SPREAD_TIMEOUT).await?;
-        spreads_s.push(accepted_at.elapsed().as_secs_f64());
+        wait_for_status(fleet, "revision", record.revision, PROPAGATION_TIMEOUT).await?;
+        propagation_s.push(accepted_at.elapsed().as_secs_f64());
     }
-    report.set(&format!("config_spread_max_s_at_{size}"), largest(&spreads_s));
+    report.set(&format!("config_spread_max_s_at_{size}"), max(&propagation_s));
     Ok(())
 }
 
@@ -150,26 +150,26 @@
     report: &mut Report,
 ) -> Result<(), LabError> {
     let ledger = Ledger::default();
-    let (mut spreads_s, mut entries_s) = (Vec::new(), Vec::new());
+    let (mut propagation_s, mut entry_discovery_s) = (Vec::new(), Vec::new());
     for change in 0..CHANGES {
         let started_at = Instant::now();
         Target::start(fleet.plan.target_options(change), ledger.sender()).await?;
         let targets = change as f64 + 1.0;
-        let are_told = wait_until(SPREAD_TIMEOUT, || async {
+        let is_discovered = wait_until(PROPAGATION_TIMEOUT, || async {
             let first = fleet.entry_status(0).await.unwrap_or_default();
             let last = fleet.entry_status(ENTRIES - 1).await.unwrap_or_default();
             number(&first, "targets") >= targets && number(&last, "targets") >= targets
         })
         .await;
-        if !are_told {
+        if !is_discovered {
             return Err("entries don't know of a target".into());
         }
-        entries_s.push(started_at.elapsed().as_secs_f64());
-        wait_for(fleet, "targets", change as u64 + 1, SPREAD_TIMEOUT).await?;
-        spreads_s.push(started_at.elapsed().as_secs_f64());
+        entry_discovery_s.push(started_at.elapsed().as_secs_f64());
+        wait_for_status(fleet, "targets", change as u64 + 1, PROPAGATION_TIMEOUT).await?;
+        propagation_s.push(started_at.elapsed().as_secs_f64());
     }
-    report.set(&format!("entries_know_target_max_s_at_{size}"), largest(&entries_s));
-    report.set(&format!("membership_spread_max_s_at_{size}"), largest(&spreads_s));
+    report.set(&format!("entries_know_target_max_s_at_{size}"), max(&entry_discovery_s));
+    report.set(&format!("membership_spread_max_s_at_{size}"), max(&propagation_s));
     Ok(())
 }
 
@@ -184,28 +184,28 @@
         revision = operator.submit_service(&name, 1_000).await?.revision;
     }
     report.set("record_submits_per_s", RECORDS as f64 / started_at.elapsed().as_secs_f64());
-    wait_for(fleet, "revision", revision, SPREAD_TIMEOUT).await?;
-    let grown_kb = (memory_mb(&fleet.agents) - before_mb) * 1_024.0;
-    report.set("agent_kb_per_record", grown_kb / RECORDS as f64);
+    wait_for_status(fleet, "revision", revision, PROPAGATION_TIMEOUT).await?;
+    let growth_kb = (memory_mb(&fleet.agents) - before_mb) * 1_024.0;
+    report.set("agent_kb_per_record", growth_kb / RECORDS as f64);
     Ok(())
 }
 
-async fn wait_for(
+async fn wait_for_status(
     fleet: &ProcessFleet,
     field: &str,
     value: u64,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<(), LabError> {
-    let is_there = wait_until(limit, || async {
+    let is_reached = wait_until(timeout, || async {
         statuses(&fleet.plan).await.iter().all(|status| number(status, field) >= value as f64)
     })
     .await;
-    if is_there {
+    if is_reached {
         return Ok(());
     }
-    let known: Vec<f64> =
+    let values: Vec<f64> =
         statuses(&fleet.plan).await.iter().map(|status| number(status, field)).collect();
-    Err(format!("{field} isn't {value} everywhere: {known:?}").into())
+    Err(format!("{field} isn't {value} everywhere: {values:?}").into())
 }
 
 /// Status of all processes, entries first; null for one that doesn't answer.
@@ -225,7 +225,7 @@
     status[field].as_f64().unwrap_or(0.0)
 }
 
-fn largest(values: &[f64]) -> f64 {
+fn max(values: &[f64]) -> f64 {
     values.iter().copied().fold(0.0, f64::max)
 }
 
--- a/crates/teaseltrack-lab/src/experiments/slow_target.rs
+++ b/crates/teaseltrack-lab/src/experiments/slow_target.rs
@@ -20,11 +20,11 @@
 /// Time that each request takes, in milliseconds.
 const SERVICE_TIME_MS: f64 = 10.0;
 /// How much slower the slow target is.
-const SLOWNESS: f64 = 20.0;
+const SLOWDOWN: f64 = 20.0;
 /// Requests a second.
 const RATE_PER_S: f64 = 800.0;
 /// Time of one load.
-const LOAD_TIME: Duration = Duration::from_secs(6);
+const LOAD_DURATION: Duration = Duration::from_secs(6);
 
 /// Runs the experiment.
 ///
@@ -38,39 +38,40 @@
     let fleet = Fleet::start(plan).await?;
     Operator::new(fleet.plan.operator_address(0), "lab").submit_service("tickets", 2_000).await?;
     wait_ready(&fleet).await?;
-    let slow = TargetBehaviour { service_time_ms: SERVICE_TIME_MS * SLOWNESS, ..behaviour };
+    let slow_behaviour =
+        TargetBehaviour { service_time_ms: SERVICE_TIME_MS * SLOWDOWN, ..behaviour };
     send(&fleet, "warm", seed, false).await;
-    let ours_before = send(&fleet, "before", seed, false).await;
-    let random_before = send(&fleet, "random-before", seed, true).await;
+    let balanced_baseline = send(&fleet, "before", seed, false).await;
+    let random_baseline = send(&fleet, "random-before", seed, true).await;
     let slow_target = ChaCha8Rng::seed_from_u64(seed).random_range(0..AGENTS);
-    fleet.targets[slow_target].set_behaviour(slow);
-    let ours = send(&fleet, "slow", seed, false).await;
+    fleet.targets[slow_target].set_behaviour(slow_behaviour);
+    let balanced = send(&fleet, "slow", seed, false).await;
     let random = send(&fleet, "random-slow", seed, true).await;
     for (quantile, name) in [(0.5, "p50"), (0.99, "p99"), (0.999, "p999")] {
-        let ratio = ours.latency_ms(quantile) / ours_before.latency_ms(quantile);
+        let ratio = balanced.latency_ms(quantile) / balanced_baseline.latency_ms(quantile);
         report.set(&format!("{name}_ratio"), ratio);
-        let ratio = random.latency_ms(quantile) / random_before.latency_ms(quantile);
+        let ratio = random.latency_ms(quantile) / random_baseline.latency_ms(quantile);
         report.set(&format!("random_{name}_ratio"), ratio);
     }
-    report.set("p99_ms", ours.latency_ms(0.99));
-    report.set("p99_before_ms", ours_before.latency_ms(0.99));
+    report.set("p99_ms", balanced.latency_ms(0.99));
+    report.set("p99_before_ms", balanced_baseline.latency_ms(0.99));
     fleet.stop().await;
     Ok(())
 }
 
-/// Sends a load through the entries, or straight to targets in turns of a random order.
+/// Sends a load entries the entries, or targets to targets in turns of a random order.
 async fn send(fleet: &Fleet, name: &str, seed: u64, is_random: bool) -> LoadResult {
-    let through: Vec<_> =
+    let entries: Vec<_> =
         (0..fleet.plan.entries).map(|entry| fleet.plan.caller_address(entry)).collect();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let straight: Vec<_> =
+    let targets: Vec<_> =
         (0..1_000).map(|_| fleet.plan.target_address(rng.random_range(0..AGENTS))).collect();
     send_load(LoadPlan {
-        addresses: if is_random { straight } else { through },
+        addresses: if is_random { targets } else { entries },
         prefix: if is_random { String::new() } else { "/tickets".to_owned() },
         name: name.to_owned(),
         rate_per_s: RATE_PER_S,
-        duration: LOAD_TIME,
+        duration: LOAD_DURATION,
         seed,
         ..LoadPlan::default()
     })
--- a/crates/teaseltrack-lab/src/experiments/soak.rs
+++ b/crates/teaseltrack-lab/src/experiments/soak.rs
@@ -2,7 +2,7 @@
 //!
 //! Each of a few injectors draws a process or a link and strikes it several times in a row, so that
 //! faults overlap and meet processes that are just starting or stopping. What callers, targets and
-//! workers saw is checked while it goes on; the first broken promise ends the run with all that is
+//! workers saw is checked while it goes on; the first violations promise ends the run with all that is
 //! known of it.
 
 use std::{
@@ -39,21 +39,21 @@
 /// Series of faults at a time.
 const INJECTORS: u64 = 3;
 /// Most faults of one series.
-const MOST_STRIKES: u32 = 4;
+const MAX_FAULTS_PER_SERIES: u32 = 4;
 /// Time between two looks at what was promised.
-const CHECK_PERIOD: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for everything to end well afterwards.
-const HEAL_TIMEOUT: Duration = Duration::from_secs(90);
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(90);
 /// Time for a planned stop.
-const STOP_TIMEOUT: Duration = Duration::from_secs(40);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(40);
 /// Tasks of each job.
 pub(super) const JOB_TASKS: u32 = 8;
 /// Time between two jobs.
-const JOB_PERIOD: Duration = Duration::from_millis(1_500);
+const JOB_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Share of the store's answers that get lost.
-const LOST_ANSWERS: f64 = 0.4;
+const LOST_RESPONSE_RATIO: f64 = 0.4;
 /// Delay of a slow link and of a slow store.
-const SLOW: Duration = Duration::from_millis(250);
+const INJECTED_DELAY: Duration = Duration::from_millis(250);
 
 /// Options of a soak.
 #[derive(Clone, Copy, Debug)]
@@ -66,7 +66,7 @@
 
 /// What a series strikes.
 #[derive(Clone, Copy, Debug)]
-enum Victim {
+enum FaultSite {
     Process(ProcessKey),
     Link(usize),
     Store,
@@ -78,7 +78,7 @@
     ledger: Ledger,
     killed_workers: Mutex<Vec<(String, Instant)>>,
     faults: AtomicU64,
-    overdue_stops: AtomicU64,
+    overdue_shutdowns: AtomicU64,
     ends_at: Instant,
 }
 
@@ -102,16 +102,16 @@
         seed: options.seed,
         ..LoadPlan::default()
     };
-    let loading = tokio::spawn(send_load(load));
+    let load_task = tokio::spawn(send_load(load));
     let soak = Arc::new(Soak {
         ledger: fleet.ledger.clone(),
         fleet: Mutex::new(fleet),
         killed_workers: Mutex::default(),
         faults: AtomicU64::new(0),
-        overdue_stops: AtomicU64::new(0),
+        overdue_shutdowns: AtomicU64::new(0),
         ends_at: Instant::now() + options.duration,
     });
-    let submitting = tokio::spawn(submit_jobs(operator.clone(), soak.ends_at));
+    let submit_task = tokio::spawn(submit_jobs(operator.clone(), soak.ends_at));
     let injectors: Vec<_> = (0..INJECTORS)
         .map(|number| {
             let rng = ChaCha8Rng::seed_from_u64(options.seed * INJECTORS + number);
@@ -119,25 +119,26 @@
         })
         .collect();
     while Instant::now() < soak.ends_at {
-        sleep(CHECK_PERIOD).await;
-        soak.check(&operator).await?;
+        sleep(CHECK_INTERVAL).await;
+        soak.check_invariants(&operator).await?;
     }
     for injector in injectors {
         injector.await??;
     }
-    soak.heal().await?;
-    let result = loading.await?;
-    let jobs = submitting.await?;
+    soak.clear_faults().await?;
+    let result = load_task.await?;
+    let jobs = submit_task.await?;
     let expected = jobs.len() * JOB_TASKS as usize;
     let killed = soak.killed_workers.lock().await.clone();
-    let is_done =
-        wait_until(HEAL_TIMEOUT, || async { soak.ledger.tasks(&killed).done.len() >= expected })
-            .await;
-    soak.check(&operator).await?;
+    let is_done = wait_until(COMPLETION_TIMEOUT, || async {
+        soak.ledger.tasks(&killed).done.len() >= expected
+    })
+    .await;
+    soak.check_invariants(&operator).await?;
     let verdict = result.verdict(&soak.ledger.requests());
     let verified = verify_streams(&operator.client).await?;
     report.count("faults", soak.faults.load(Ordering::Relaxed));
-    report.count("stops_overdue", soak.overdue_stops.load(Ordering::Relaxed));
+    report.count("stops_overdue", soak.overdue_shutdowns.load(Ordering::Relaxed));
     report.count("requests", result.requests.len() as u64);
     report.count("answered", verdict.answered);
     report.count("not_run", verdict.not_run);
@@ -146,22 +147,22 @@
     report.count("truncated", verdict.truncated);
     report.count("tasks", expected as u64);
     report.count("history_entries", verified.iter().map(|stream| stream.entries).sum());
-    let broken = [
+    let violations = [
         ("lost", verdict.lost),
         ("wrong", verdict.mismatched),
         ("false_not_run", verdict.false_not_run),
         ("tasks_unfinished", u64::from(!is_done)),
     ];
-    for (name, count) in broken {
+    for (name, count) in violations {
         report.count(name, count);
     }
     let names: Vec<&str> =
-        broken.iter().filter(|(_, count)| *count > 0).map(|(name, _)| *name).collect();
+        violations.iter().filter(|(_, count)| *count > 0).map(|(name, _)| *name).collect();
     if names.is_empty() {
         return Ok(());
     }
     if !is_done {
-        explain_unfinished(&*soak.fleet.lock().await, &operator, &jobs).await;
+        print_unfinished(&*soak.fleet.lock().await, &operator, &jobs).await;
     }
     Err(format!("seed {}: {}\n{}", options.seed, names.join(", "), report.text()).into())
 }
@@ -186,13 +187,13 @@
         if is_accepted {
             jobs.push(name);
         }
-        sleep(JOB_PERIOD).await;
+        sleep(JOB_INTERVAL).await;
     }
     jobs
 }
 
 /// Says which tasks aren't done, where they are, and who owns their job's shard.
-pub(super) async fn explain_unfinished(fleet: &ProcessFleet, operator: &Operator, jobs: &[String]) {
+pub(super) async fn print_unfinished(fleet: &ProcessFleet, operator: &Operator, jobs: &[String]) {
     for name in jobs {
         let head = keys::head(&stream_of(shard_of(name)));
         match operator.job(name).await {
@@ -208,7 +209,7 @@
 }
 
 /// Prints all that happened to tasks that finished more than once.
-pub(super) async fn explain_duplicated(
+pub(super) async fn print_duplicated(
     ledger: &Ledger,
     killed_workers: &[(String, Instant)],
     operator: &Operator,
@@ -225,9 +226,9 @@
             eprintln!("{:8.3} {event:?}", seconds(at));
         }
         let job = task.split('/').next().unwrap_or_default();
-        let explained: Result<Vec<ExplainedDecision>, _> =
+        let decisions: Result<Vec<ExplainedDecision>, _> =
             operator.client.query(&format!("/explain/{job}")).await;
-        for decision in explained.unwrap_or_default() {
+        for decision in decisions.unwrap_or_default() {
             if decision.decision.task().is_some_and(|id| id.to_string() == *task) {
                 eprintln!("{} {} {:?}", decision.at_ms, decision.author, decision.decision);
             }
@@ -239,27 +240,31 @@
     /// Injects series of faults until the time is over.
     async fn inject(self: Arc<Self>, mut rng: ChaCha8Rng) -> Result<(), LabError> {
         while Instant::now() < self.ends_at {
-            let victim = draw_victim(&mut rng);
-            for _ in 0..rng.random_range(1..=MOST_STRIKES) {
+            let site = choose_fault_site(&mut rng);
+            for _ in 0..rng.random_range(1..=MAX_FAULTS_PER_SERIES) {
                 self.faults.fetch_add(1, Ordering::Relaxed);
-                match victim {
-                    Victim::Process(key) => self.strike_process(key, &mut rng).await?,
-                    Victim::Link(index) => self.strike_link(index, &mut rng).await,
-                    Victim::Store => self.strike_store(&mut rng).await,
+                match site {
+                    FaultSite::Process(key) => self.inject_process_fault(key, &mut rng).await?,
+                    FaultSite::Link(index) => self.inject_link_fault(index, &mut rng).await,
+                    FaultSite::Store => self.inject_store_fault(&mut rng).await,
                 }
-                sleep(millis(&mut rng, 0, 800)).await;
+                sleep(random_millis(&mut rng, 0, 800)).await;
             }
-            sleep(millis(&mut rng, 300, 2_000)).await;
+            sleep(random_millis(&mut rng, 300, 2_000)).await;
         }
         Ok(())
     }
 
-    async fn strike_process(&self, key: ProcessKey, rng: &mut ChaCha8Rng) -> Result<(), LabError> {
+    async fn inject_process_fault(
+        &self,
+        key: ProcessKey,
+        rng: &mut ChaCha8Rng,
+    ) -> Result<(), LabError> {
         match rng.random_range(0..3) {
-            0 => self.kill(key, millis(rng, 0, 1_500)).await,
+            0 => self.kill(key, random_millis(rng, 0, 1_500)).await,
             1 => {
                 self.signal(key, Signal::SIGSTOP).await;
-                sleep(millis(rng, 200, 6_000)).await;
+                sleep(random_millis(rng, 200, 6_000)).await;
                 self.signal(key, Signal::SIGCONT).await;
                 Ok(())
             }
@@ -275,13 +280,13 @@
         self.fleet.lock().await.process(key).signal(signal);
     }
 
-    async fn kill(&self, key: ProcessKey, down: Duration) -> Result<(), LabError> {
+    async fn kill(&self, key: ProcessKey, downtime: Duration) -> Result<(), LabError> {
         self.fleet.lock().await.process(key).kill();
         if key.0 == Role::Worker {
             let name = FleetPlan::agent_name(key.1);
             self.killed_workers.lock().await.push((name, Instant::now()));
         }
-        sleep(down).await;
+        sleep(downtime).await;
         let mut fleet = self.fleet.lock().await;
         if fleet.process(key).has_exited() { fleet.respawn(key) } else { Ok(()) }
     }
@@ -290,7 +295,7 @@
     async fn stop(&self, key: ProcessKey) -> Result<(), LabError> {
         let id = self.fleet.lock().await.process(key).id();
         self.signal(key, Signal::SIGTERM).await;
-        let deadline = Instant::now() + STOP_TIMEOUT;
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
         while Instant::now() < deadline {
             sleep(Duration::from_millis(50)).await;
             let mut fleet = self.fleet.lock().await;
@@ -301,14 +306,14 @@
                 return fleet.respawn(key);
             }
         }
-        self.overdue_stops.fetch_add(1, Ordering::Relaxed);
+        self.overdue_shutdowns.fetch_add(1, Ordering::Relaxed);
         self.kill(key, Duration::ZERO).await
     }
 
-    async fn strike_link(&self, index: usize, rng: &mut ChaCha8Rng) {
+    async fn inject_link_fault(&self, index: usize, rng: &mut ChaCha8Rng) {
         let relay = self.fleet.lock().await.relays[index].clone();
         let faults = match rng.random_range(0..5) {
-            0 => RelayFaults { delay: SLOW, ..RelayFaults::default() },
+            0 => RelayFaults { delay: INJECTED_DELAY, ..RelayFaults::default() },
             1 => RelayFaults { is_refusing: true, ..RelayFaults::default() },
             2 => RelayFaults { stalls_requests: true, ..RelayFaults::default() },
             3 => RelayFaults { stalls_responses: true, ..RelayFaults::default() },
@@ -323,24 +328,24 @@
         if rng.random_range(0..2) == 0 {
             relay.cut_all();
         }
-        sleep(millis(rng, 200, 4_000)).await;
+        sleep(random_millis(rng, 200, 4_000)).await;
         relay.set_faults(RelayFaults::default());
     }
 
-    async fn strike_store(&self, rng: &mut ChaCha8Rng) {
+    async fn inject_store_fault(&self, rng: &mut ChaCha8Rng) {
         let faults = match rng.random_range(0..4) {
             0 => Faults { outage: Outage::Silent, ..Faults::default() },
             1 => Faults { outage: Outage::Cut, ..Faults::default() },
-            2 => Faults { lost_response_ratio: LOST_ANSWERS, ..Faults::default() },
-            _ => Faults { latency_ms: SLOW.as_millis() as f64, ..Faults::default() },
+            2 => Faults { lost_response_ratio: LOST_RESPONSE_RATIO, ..Faults::default() },
+            _ => Faults { latency_ms: INJECTED_DELAY.as_millis() as f64, ..Faults::default() },
         };
         self.fleet.lock().await.platform.set_faults(faults);
-        sleep(millis(rng, 200, 6_000)).await;
+        sleep(random_millis(rng, 200, 6_000)).await;
         self.fleet.lock().await.platform.set_faults(Faults::default());
     }
 
     /// Ends all faults.
-    async fn heal(&self) -> Result<(), LabError> {
+    async fn clear_faults(&self) -> Result<(), LabError> {
         let mut fleet = self.fleet.lock().await;
         fleet.platform.set_faults(Faults::default());
         fleet.relays.iter().for_each(|relay| relay.set_faults(RelayFaults::default()));
@@ -356,11 +361,11 @@
     }
 
     /// Compares what ran with what was promised.
-    async fn check(&self, operator: &Operator) -> Result<(), LabError> {
+    async fn check_invariants(&self, operator: &Operator) -> Result<(), LabError> {
         let killed = self.killed_workers.lock().await.clone();
         let tasks = self.ledger.tasks(&killed);
         let requests = self.ledger.requests();
-        let broken: Vec<String> = [
+        let violations: Vec<String> = [
             ("duplicated", requests.duplicated),
             ("over_capacity", requests.over_capacity),
             ("tasks_duplicated", tasks.duplicated()),
@@ -371,27 +376,27 @@
         .filter(|(_, count)| *count > 0)
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
-        if broken.is_empty() {
+        if violations.is_empty() {
             return Ok(());
         }
-        explain_duplicated(&self.ledger, &killed, operator).await;
-        Err(format!("promise broken: {}", broken.join(", ")).into())
+        print_duplicated(&self.ledger, &killed, operator).await;
+        Err(format!("promise broken: {}", violations.join(", ")).into())
     }
 }
 
 /// The first entry is spared: it takes the load whose answers are checked.
-fn draw_victim(rng: &mut ChaCha8Rng) -> Victim {
+fn choose_fault_site(rng: &mut ChaCha8Rng) -> FaultSite {
     let index = rng.random_range(0..AGENTS);
     match rng.random_range(0..10) {
-        0..4 => Victim::Process((Role::Agent, index)),
-        4 | 5 => Victim::Process((Role::Worker, index)),
-        6 => Victim::Process((Role::Target, index)),
-        7 => Victim::Process((Role::Entry, 1)),
-        8 => Victim::Link(index),
-        _ => Victim::Store,
+        0..4 => FaultSite::Process((Role::Agent, index)),
+        4 | 5 => FaultSite::Process((Role::Worker, index)),
+        6 => FaultSite::Process((Role::Target, index)),
+        7 => FaultSite::Process((Role::Entry, 1)),
+        8 => FaultSite::Link(index),
+        _ => FaultSite::Store,
     }
 }
 
-fn millis(rng: &mut ChaCha8Rng, least: u64, most: u64) -> Duration {
-    Duration::from_millis(rng.random_range(least..=most))
+fn random_millis(rng: &mut ChaCha8Rng, min: u64, max: u64) -> Duration {
+    Duration::from_millis(rng.random_range(min..=max))
 }
--- a/crates/teaseltrack-lab/src/experiments/starts.rs
+++ b/crates/teaseltrack-lab/src/experiments/starts.rs
@@ -18,21 +18,21 @@
 /// Agents.
 const AGENTS: usize = 8;
 /// Time for which jobs are submitted.
-const LOAD_TIME: Duration = Duration::from_secs(10);
+const LOAD_DURATION: Duration = Duration::from_secs(10);
 /// Tasks that should start each second.
 const STARTS_PER_S: u32 = 900;
 /// Batch jobs a second, so that their shards differ.
 const JOBS_PER_S: u32 = 6;
 /// Time between urgent jobs.
-const URGENT_PERIOD: Duration = Duration::from_millis(250);
+const URGENT_INTERVAL: Duration = Duration::from_millis(250);
 /// Run time of a task, in milliseconds.
 const RUN_MS: u64 = 1_000;
 /// Processor use of a task, in thousandths of a core.
 const TASK_CPU_MILLI: u64 = 100;
 /// Time for the shards to find owners.
-const SETTLE: Duration = Duration::from_secs(6);
+const SETTLE_DURATION: Duration = Duration::from_secs(6);
 /// Time for all tasks to finish.
-const FINISH_TIMEOUT: Duration = Duration::from_secs(60);
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Runs the experiment.
 ///
@@ -48,30 +48,33 @@
         ..FleetPlan::default()
     };
     let fleet = Fleet::start(plan).await?;
-    sleep(SETTLE).await;
+    sleep(SETTLE_DURATION).await;
     let operator = Operator::new(fleet.plan.operator_address(0), "lab");
-    let served_before = fleet.platform.call_counts();
+    let calls_before = fleet.platform.call_counts();
     let started_at = Instant::now();
     let (batch, urgent) = tokio::join!(submit_batch(&operator), submit_urgent(&operator));
     let (tasks, submitted) = (batch?, urgent?);
     let expected = (tasks + submitted.len() as u32) as usize;
     let is_done =
-        wait_until(FINISH_TIMEOUT, || async { fleet.ledger.tasks(&[]).done.len() >= expected })
+        wait_until(COMPLETION_TIMEOUT, || async { fleet.ledger.tasks(&[]).done.len() >= expected })
             .await;
-    let served = fleet.platform.call_counts();
+    let calls = fleet.platform.call_counts();
     let first_runs = first_runs(&fleet);
     let last_start = first_runs.values().max().copied().unwrap_or(started_at);
-    let ran = fleet.ledger.tasks(&[]);
+    let executed = fleet.ledger.tasks(&[]);
     report.count("tasks", expected as u64);
-    report.count("tasks_unfinished", (expected - ran.done.len().min(expected)) as u64);
+    report.count("tasks_unfinished", (expected - executed.done.len().min(expected)) as u64);
     report.count("is_done", u64::from(is_done));
     let starts = first_runs.len() as f64;
     report.set("starts_per_s", starts / last_start.duration_since(started_at).as_secs_f64());
-    let writes = (served.writes - served_before.writes) as f64;
+    let writes = (calls.writes - calls_before.writes) as f64;
     report.set("writes_per_start", writes / starts);
     report.set("writes_per_s", writes / started_at.elapsed().as_secs_f64());
-    report.count("writes_throttled", served.throttled - served_before.throttled);
-    report.count("duplicated", ran.duplicated() + ran.in_two_places + ran.attempts_repeated);
+    report.count("writes_throttled", calls.throttled - calls_before.throttled);
+    report.count(
+        "duplicated",
+        executed.duplicated() + executed.in_two_places + executed.attempts_repeated,
+    );
     let mut waits_ms: Vec<f64> = submitted
         .iter()
         .filter_map(|(task, at)| Some(first_runs.get(task)?.duration_since(*at)))
@@ -91,7 +94,7 @@
 /// Submits batch jobs at a steady pace; the number of their tasks.
 async fn submit_batch(operator: &Operator) -> Result<u32, LabError> {
     let start = tokio::time::Instant::now();
-    let jobs = LOAD_TIME.as_secs() as u32 * JOBS_PER_S;
+    let jobs = LOAD_DURATION.as_secs() as u32 * JOBS_PER_S;
     let tasks = STARTS_PER_S / JOBS_PER_S;
     for number in 0..jobs {
         sleep_until(start + Duration::from_secs(1) * number / JOBS_PER_S).await;
@@ -104,10 +107,10 @@
 /// Submits urgent jobs of one task; each task and when it was submitted.
 async fn submit_urgent(operator: &Operator) -> Result<Vec<(String, Instant)>, LabError> {
     let start = tokio::time::Instant::now();
-    let jobs = (LOAD_TIME.as_millis() / URGENT_PERIOD.as_millis()) as u32;
+    let jobs = (LOAD_DURATION.as_millis() / URGENT_INTERVAL.as_millis()) as u32;
     let mut submitted = Vec::new();
     for number in 0..jobs {
-        sleep_until(start + URGENT_PERIOD * number).await;
+        sleep_until(start + URGENT_INTERVAL * number).await;
         let job = LabJob { tasks: 1, cpu_milli: TASK_CPU_MILLI, run_ms: RUN_MS, urgency: 0 };
         let name = format!("urgent-{number}");
         submitted.push((format!("{name}/0"), Instant::now()));
@@ -116,12 +119,12 @@
     Ok(submitted)
 }
 
-/// When each task first ran.
+/// When each task first executed.
 fn first_runs(fleet: &Fleet) -> BTreeMap<String, Instant> {
     let mut first = BTreeMap::new();
-    for (at, event) in fleet.ledger.events() {
+    for (started_at, event) in fleet.ledger.events() {
         if let LedgerEvent::AttemptRunning { task, .. } = event {
-            first.entry(task).or_insert(at);
+            first.entry(task).or_insert(started_at);
         }
     }
     first
--- a/crates/teaseltrack-lab/tests/attempts.rs
+++ b/crates/teaseltrack-lab/tests/attempts.rs
@@ -43,7 +43,7 @@
 const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 const INCARNATION: u64 = 5;
-const LIMIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Agent {
     attempts: mpsc::Sender<AttemptMessage>,
@@ -67,7 +67,7 @@
     AttemptKey { task: TaskId { job: "settlement".to_owned(), index: 0 }, attempt: 1 }
 }
 
-/// A worker on which an earlier agent process has started the attempt.
+/// A worker on which an previous_agent agent process has started the attempt.
 async fn start_worker(clock: &SharedClock) -> Worker {
     let options = WorkerOptions {
         address: LOOPBACK,
@@ -77,12 +77,12 @@
         ledger: None,
     };
     let worker = Worker::start(options, Ledger::default().sender()).await.unwrap();
-    let mut earlier = WorkerClient::new(worker.address(), 1, clock.clone());
-    earlier.sync(None, None, 1.0, Vec::new()).await.unwrap();
+    let mut previous_agent = WorkerClient::new(worker.address(), 1, clock.clone());
+    previous_agent.sync(None, None, 1.0, Vec::new()).await.unwrap();
     let deadline = Some(Instant::now() + Duration::from_secs(60));
-    earlier.sync(Some(INCARNATION), deadline, 1.0, Vec::new()).await.unwrap();
-    let call = StartRequest {
-        holder: earlier.holder(),
+    previous_agent.sync(Some(INCARNATION), deadline, 1.0, Vec::new()).await.unwrap();
+    let request = StartRequest {
+        holder: previous_agent.holder(),
         incarnation: INCARNATION,
         key: key(),
         resources: Resources::declared(&spec()),
@@ -90,7 +90,7 @@
         checkpoint: None,
         not_after_ms: None,
     };
-    earlier.start(call).await.unwrap();
+    previous_agent.start(request).await.unwrap();
     worker
 }
 
@@ -114,14 +114,14 @@
         state: MemberState::Alive,
         target: None,
     };
-    let (ahead, _) = mpsc::channel(1);
+    let (updates, _) = mpsc::channel(1);
     let capacity = spawn_capacity(
-        CapacityLimits { max_slots: 8, queue_per_class: 8, announcement_ttl: LIMIT },
+        CapacityLimits { max_slots: 8, queue_per_class: 8, announcement_ttl: TIMEOUT },
         CapacityContext {
             logger: logs::silent(),
             clock: clock.clone(),
             metrics: Metrics::scrape_only(),
-            node: spawn_node(member, clock.clone(), logs::silent(), ahead),
+            node: spawn_node(member, clock.clone(), logs::silent(), updates),
             clients: ControlClients::new(Arc::new(ByteCount::default())),
         },
     );
@@ -147,27 +147,27 @@
 
 impl Agent {
     /// Sends the start again, as an owner does that got no answer; whether the agent took it.
-    async fn start_again(&self) -> bool {
+    async fn resend_start(&self) -> bool {
         let owner = ShardOwner { shard: 0, epoch: 1, control_address: String::new() };
         let AttemptKey { task, attempt } = key();
         let order =
             StartOrder { task, attempt, incarnation: INCARNATION, spec: spec(), checkpoint: None };
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.attempts.send(AttemptMessage::Start(owner, vec![order], reply)).await.unwrap();
-        answer.await.unwrap().is_ok()
+        response.await.unwrap().is_ok()
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn start_again_before_worker_was_seen() {
+async fn start_rejected_before_first_worker_sync() {
     let clock: SharedClock = Arc::new(SystemClock);
     let worker = start_worker(&clock).await;
     let mut agent = start_agent(&worker, &clock).await;
-    assert!(!agent.start_again().await, "taken without knowing what the worker runs");
+    assert!(!agent.resend_start().await, "taken without knowing what the worker runs");
 
     let deadline = Instant::now() + Duration::from_secs(60);
     agent.lease.send_replace(Some(LeaseView { incarnation: INCARNATION, deadline }));
-    let report = timeout(LIMIT, agent.reports.recv()).await.unwrap().unwrap();
+    let report = timeout(TIMEOUT, agent.reports.recv()).await.unwrap().unwrap();
     assert_eq!(report.report.event, AttemptEvent::Started);
-    assert!(agent.start_again().await);
+    assert!(agent.resend_start().await);
 }
--- a/crates/teaseltrack-lab/tests/history.rs
+++ b/crates/teaseltrack-lab/tests/history.rs
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn append_racing_with_lost_answers() {
+async fn append_racing_with_lost_responses() {
     let (platform, store, clock) = start().await;
     platform.set_faults(Faults { lost_response_ratio: 0.5, ..Faults::default() });
     let racers: Vec<_> = (0..4)
@@ -120,13 +120,13 @@
             })
         })
         .collect();
-    let mut claimed = Vec::new();
+    let mut reported = Vec::new();
     for racer in racers {
-        claimed.push(racer.await.unwrap());
+        reported.push(racer.await.unwrap());
     }
     platform.set_faults(Faults::default());
     let authors = authors(&store, "shard-0002").await;
-    for (author, committed) in claimed {
+    for (author, committed) in reported {
         assert_eq!(authors.iter().filter(|other| **other == author).count(), committed, "{author}");
     }
 }
--- a/crates/teaseltrack-lab/tests/requests.rs
+++ b/crates/teaseltrack-lab/tests/requests.rs
@@ -44,16 +44,16 @@
     fleet
 }
 
-fn assert_sound(fleet: &Fleet, result: &LoadResult) -> Verdict {
+fn assert_local_invariants(fleet: &Fleet, result: &LoadResult) -> Verdict {
     let verdict = result.verdict(&fleet.ledger.requests());
-    let broken = [
+    let violations = [
         verdict.duplicated,
         verdict.false_not_run,
         verdict.mismatched,
         verdict.over_capacity,
         verdict.lost,
     ];
-    assert_eq!(broken, [0; 5], "{verdict:?}");
+    assert_eq!(violations, [0; 5], "{verdict:?}");
     verdict
 }
 
@@ -61,40 +61,40 @@
     before_request = { RelayFaults { is_refusing: true, ..RelayFaults::default() } },
     at_request = { RelayFaults { cut_after_request_bytes: Some(0), ..RelayFaults::default() } },
     within_request = { RelayFaults { cut_after_request_bytes: Some(120), ..RelayFaults::default() } },
-    before_answer = { RelayFaults { cut_after_response_bytes: Some(0), ..RelayFaults::default() } },
-    within_answer = { RelayFaults { cut_after_response_bytes: Some(100), ..RelayFaults::default() } },
-    between_answers = { RelayFaults { cut_after_response_bytes: Some(1_000), ..RelayFaults::default() } },
+    before_response = { RelayFaults { cut_after_response_bytes: Some(0), ..RelayFaults::default() } },
+    within_response = { RelayFaults { cut_after_response_bytes: Some(100), ..RelayFaults::default() } },
+    between_responses = { RelayFaults { cut_after_response_bytes: Some(1_000), ..RelayFaults::default() } },
     delayed = { RelayFaults { delay: Duration::from_millis(40), ..RelayFaults::default() } },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn requests_sound_with_connections_cut(faults: RelayFaults) {
+async fn requests_consistent_with_connections_cut(faults: RelayFaults) {
     let plan = FleetPlan { agents: 2, has_relays: true, ..FleetPlan::default() };
     let fleet = start(plan).await;
     fleet.relays[0].set_faults(faults);
     fleet.relays[0].cut_all();
     let result = send(&fleet, "cut").await;
-    let verdict = assert_sound(&fleet, &result);
+    let verdict = assert_local_invariants(&fleet, &result);
     assert!(verdict.answered * 4 > result.requests.len() as u64, "{verdict:?}");
 }
 
 #[parameterized(
-    before_answer = { TargetBehaviour { cut_before_ratio: 0.3, service_time_ms: 5.0, ..TargetBehaviour::default() } },
-    within_answer = { TargetBehaviour { cut_within_ratio: 0.3, service_time_ms: 5.0, ..TargetBehaviour::default() } },
+    before_response = { TargetBehaviour { cut_before_ratio: 0.3, service_time_ms: 5.0, ..TargetBehaviour::default() } },
+    within_response = { TargetBehaviour { cut_within_ratio: 0.3, service_time_ms: 5.0, ..TargetBehaviour::default() } },
     slow = { TargetBehaviour { service_time_ms: 900.0, jitter_ms: 300.0, ..TargetBehaviour::default() } },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn requests_sound_with_bad_targets(behaviour: TargetBehaviour) {
+async fn requests_consistent_with_faulty_targets(behaviour: TargetBehaviour) {
     let fleet = start(FleetPlan { agents: 2, ..FleetPlan::default() }).await;
     fleet.targets[0].set_behaviour(behaviour);
     fleet.targets[1].set_behaviour(behaviour);
     let result = send(&fleet, "bad").await;
-    assert_sound(&fleet, &result);
+    assert_local_invariants(&fleet, &result);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_sound_with_agent_and_target_frozen() {
+async fn requests_consistent_with_agent_and_target_frozen() {
     let fleet = start_processes(FleetPlan { agents: 3, ..FleetPlan::default() }).await;
-    let loading = tokio::spawn(send_load(LoadPlan {
+    let load_task = tokio::spawn(send_load(LoadPlan {
         duration: Duration::from_secs(8),
         timeout: Duration::from_secs(1),
         ..load(&fleet, "frozen")
@@ -106,16 +106,16 @@
     sleep(Duration::from_secs(2)).await;
     fleet.targets[0].signal(Signal::SIGCONT);
     fleet.agents[1].signal(Signal::SIGCONT);
-    let result = loading.await.unwrap();
+    let result = load_task.await.unwrap();
     assert_invariants(&fleet, &result);
     wait_served(&fleet, "thawed").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_within_slots_after_thaw() {
+async fn requests_within_slots_after_target_resumed() {
     let plan = FleetPlan { agents: 1, entries: 1, ..FleetPlan::default() };
     let fleet = start_processes(plan).await;
-    let loading = tokio::spawn(send_load(LoadPlan {
+    let load_task = tokio::spawn(send_load(LoadPlan {
         duration: Duration::from_secs(6),
         timeout: Duration::from_millis(500),
         post_ratio: 1.0,
@@ -125,7 +125,7 @@
     fleet.targets[0].signal(Signal::SIGSTOP);
     sleep(Duration::from_secs(3)).await;
     fleet.targets[0].signal(Signal::SIGCONT);
-    let result = loading.await.unwrap();
+    let result = load_task.await.unwrap();
     assert_invariants(&fleet, &result);
     wait_served(&fleet, "thawed").await;
 }
@@ -142,13 +142,13 @@
     fleet.entries[1].kill();
     fleet.entries[1] = fleet.spawn_entry(1).unwrap();
     fleet.wait_ready().await.unwrap();
-    util::wait_in_force(&fleet).await;
+    util::wait_records_applied(&fleet).await;
     wait_served(&fleet, "new-entry").await;
     assert_invariants(&fleet, &result);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_uncut_by_planned_stops() {
+async fn requests_uninterrupted_by_graceful_shutdowns() {
     // Requests take long, aren't idempotent and go to the entry's own zone, so that every stop finds
     // some that it could cut off.
     let behaviour = TargetBehaviour { service_time_ms: 200.0, ..TargetBehaviour::default() };
@@ -161,16 +161,16 @@
         post_ratio: 1.0,
         ..load(&fleet, "planned")
     };
-    let loading = tokio::spawn(send_load(steady));
+    let load_task = tokio::spawn(send_load(steady));
     sleep(Duration::from_secs(1)).await;
-    let limit = Duration::from_secs(30);
-    assert!(fleet.targets[0].stop(limit).await);
+    let shutdown_timeout = Duration::from_secs(30);
+    assert!(fleet.targets[0].stop(shutdown_timeout).await);
     fleet.targets[0] = fleet.spawn_target(0).unwrap();
     fleet.wait_ready().await.unwrap();
     sleep(Duration::from_secs(2)).await;
-    assert!(fleet.agents[0].stop(limit).await);
-    assert!(fleet.entries[1].stop(limit).await);
-    let result = loading.await.unwrap();
+    assert!(fleet.agents[0].stop(shutdown_timeout).await);
+    assert!(fleet.entries[1].stop(shutdown_timeout).await);
+    let result = load_task.await.unwrap();
     assert_eq!(
         result.count(RequestOutcome::Answered),
         result.requests.len() as u64,
@@ -181,37 +181,37 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_target_gets_no_new_work() {
+async fn draining_target_receives_no_new_requests() {
     let behaviour = TargetBehaviour { service_time_ms: 1_500.0, ..TargetBehaviour::default() };
     let plan = FleetPlan { agents: 1, entries: 1, behaviour, ..FleetPlan::default() };
     let fleet = Fleet::start(plan).await.unwrap();
     let operator = Operator::new(fleet.plan.operator_address(0), "test");
     operator.submit_service("tickets", 5_000).await.unwrap();
     let agent = fleet.plan.request_address(0);
-    let first = wait_until(util::RECOVERY_LIMIT, || forward(agent, "ready")).await;
-    assert!(first, "the agent doesn't forward");
+    let is_forwarding = wait_until(util::RECOVERY_TIMEOUT, || forward(agent, "ready")).await;
+    assert!(is_forwarding, "the agent doesn't forward");
 
-    let running = tokio::spawn(async move { forward(agent, "running").await });
+    let running_request = tokio::spawn(async move { forward(agent, "running").await });
     sleep(Duration::from_millis(300)).await;
     let target = fleet.targets[0].clone();
-    let leaving = tokio::spawn(async move { target.shut_down().await });
+    let shutdown_task = tokio::spawn(async move { target.shut_down().await });
     sleep(Duration::from_millis(300)).await;
-    assert!(!forward(agent, "late").await, "a leaving target got new work");
-    assert!(running.await.unwrap(), "a running request was cut off");
-    leaving.await.unwrap();
+    assert!(!forward(agent, "late").await, "a draining target got new work");
+    assert!(running_request.await.unwrap(), "a running request was cut off");
+    shutdown_task.await.unwrap();
     assert!(!fleet.ledger.requests().runs.contains_key("late"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn slots_free_after_callers_left() {
+async fn slots_released_after_callers_disconnected() {
     let plan = FleetPlan { agents: 1, entries: 1, ..FleetPlan::default() };
     let fleet = start(plan).await;
     let agent = fleet.plan.request_address(0);
     let mut callers = tokio::task::JoinSet::new();
     for number in 0..3_000_u64 {
-        let patience = Duration::from_micros(number * 37 % 12_000);
+        let caller_timeout = Duration::from_micros(number * 37 % 12_000);
         callers.spawn(async move {
-            drop(timeout(patience, forward(agent, &format!("left-{number}"))).await);
+            drop(timeout(caller_timeout, forward(agent, &format!("left-{number}"))).await);
         });
         if number % 20 == 0 {
             sleep(Duration::from_millis(5)).await;
@@ -252,17 +252,17 @@
     request_id = { "x-request-id", "", "x-request-id" },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn request_refused_names_header(name: &str, value: &str, named: &str) {
+async fn request_refused_names_header(name: &str, value: &str, header: &str) {
     let fleet = start(FleetPlan { agents: 1, entries: 1, ..FleetPlan::default() }).await;
     let address = fleet.plan.caller_address(0);
     let request = http::Request::get(format!("http://{address}/tickets/a"))
         .header(name, value)
         .body(http_body_util::Full::default())
         .unwrap();
-    let answer = HttpClient::new(Duration::from_secs(5)).send(address, request).await.unwrap();
-    let text = String::from_utf8_lossy(&answer.body).into_owned();
-    assert_eq!(answer.status, 400, "{text}");
-    assert!(text.contains(named) && text.contains("not_run"), "{text}");
+    let response = HttpClient::new(Duration::from_secs(5)).send(address, request).await.unwrap();
+    let text = String::from_utf8_lossy(&response.body).into_owned();
+    assert_eq!(response.status, 400, "{text}");
+    assert!(text.contains(header) && text.contains("not_run"), "{text}");
     assert!(
         wait_until(Duration::from_secs(5), || async { wait_ready(&fleet).await.is_ok() }).await
     );
@@ -275,7 +275,7 @@
     let request = http::Request::post(format!("http://{address}/tickets/a"))
         .body(http_body_util::Full::from(vec![b'a'; (1 << 20) + 1]))
         .unwrap();
-    let answer = HttpClient::new(Duration::from_secs(5)).send(address, request).await.unwrap();
-    assert_eq!(answer.status, 413);
+    let response = HttpClient::new(Duration::from_secs(5)).send(address, request).await.unwrap();
+    assert_eq!(response.status, 413);
     assert!(fleet.ledger.requests().runs.keys().all(|id| id.starts_with("ready")));
 }
--- a/crates/teaseltrack-lab/tests/tasks.rs
+++ b/crates/teaseltrack-lab/tests/tasks.rs
@@ -22,11 +22,11 @@
 };
 use teaseltrack_wire::operators::SubmittedRecord;
 use tokio::time::sleep;
-use util::{RECOVERY_LIMIT, short_job, start_processes, wait_done};
+use util::{RECOVERY_TIMEOUT, short_job, start_processes, wait_done};
 
 /// Rounds in which a start must have been taken beside a silent worker: an agent looks at its worker
 /// ten times a second, so that most first rounds do.
-const ROUNDS: usize = 20;
+const MAX_ROUNDS: usize = 20;
 
 /// Three instances, each with room for eight tasks of a core.
 async fn start() -> (ProcessFleet, Operator) {
@@ -41,14 +41,14 @@
 }
 
 async fn wait_running(operator: &Operator, job: &str) {
-    let is_running = wait_until(RECOVERY_LIMIT, || async {
+    let is_running = wait_until(RECOVERY_TIMEOUT, || async {
         operator.job(job).await.is_ok_and(|view| view.counts.running > 0)
     })
     .await;
     assert!(is_running, "{job} doesn't run");
 }
 
-fn assert_once(tasks: &TaskLedger, done: usize) {
+fn assert_done_once(tasks: &TaskLedger, done: usize) {
     assert_eq!(tasks.done.len(), done);
     assert_eq!((tasks.duplicated(), tasks.in_two_places, tasks.attempts_repeated), (0, 0, 0));
 }
@@ -61,8 +61,8 @@
     let amend = |operator: Operator, timeout_ms: u64| async move {
         let body = SubmittedRecord { schema_version: 2, body: json!({ "timeout_ms": timeout_ms }) };
         let path = "/records/service/gate";
-        let seen = Some(record.revision);
-        operator.client.command::<_, Record>(Method::PUT, path, seen, Some(&body)).await
+        let expected = Some(record.revision);
+        operator.client.command::<_, Record>(Method::PUT, path, expected, Some(&body)).await
     };
     let (first, second) = tokio::join!(amend(operator, 2_000), amend(other, 3_000));
     let (winner, loser) = match (first, second) {
@@ -77,12 +77,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn notice_acted_on_once() {
+async fn notice_creates_one_job() {
     let (fleet, operator) = start().await;
     let action = LabJob { tasks: 1, cpu_milli: 100, run_ms: 50, urgency: 0 };
     let watch = json!({ "job_prefix": "recall-", "job": action.body() });
     operator.submit(RecordKind::Watch, "recalls", 1, watch).await.unwrap();
-    let tellers: Vec<_> = (0..6)
+    let notifiers: Vec<_> = (0..6)
         .map(|number| {
             let entry = fleet.plan.operator_address(number % 2);
             tokio::spawn(
@@ -91,16 +91,16 @@
         })
         .collect();
     let mut accepted = 0;
-    for teller in tellers {
-        accepted += u32::from(teller.await.unwrap().is_ok());
+    for notifier in notifiers {
+        accepted += u32::from(notifier.await.unwrap().is_ok());
     }
     assert_eq!(accepted, 1);
     wait_done(&operator, "recall-lot-7").await;
-    assert_once(&fleet.ledger.tasks(&[]), 1);
+    assert_done_once(&fleet.ledger.tasks(&[]), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tasks_once_with_lost_answers() {
+async fn tasks_done_once_with_lost_responses() {
     let (fleet, operator) = start().await;
     fleet.platform.set_faults(Faults { lost_response_ratio: 0.4, ..Faults::default() });
     for number in 0..5 {
@@ -109,14 +109,14 @@
     for number in 0..5 {
         wait_done(&operator, &format!("job-{number}")).await;
     }
-    assert_once(&fleet.ledger.tasks(&[]), 20);
+    assert_done_once(&fleet.ledger.tasks(&[]), 20);
     let streams = verify_streams(&operator.client).await.unwrap();
     let configuration = &streams[0];
     assert_eq!((configuration.stream.as_str(), configuration.entries), ("configuration", 6));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tasks_once_through_outage_longer_than_lease() {
+async fn tasks_done_once_through_outage_longer_than_lease() {
     let (fleet, operator) = start().await;
     operator.submit_job("settlement", short_job(12, 3_000)).await.unwrap();
     wait_running(&operator, "settlement").await;
@@ -124,12 +124,12 @@
     sleep(Duration::from_millis(fleet.plan.lease_ttl_ms * 2)).await;
     fleet.platform.set_faults(Faults::default());
     wait_done(&operator, "settlement").await;
-    assert_once(&fleet.ledger.tasks(&[]), 12);
+    assert_done_once(&fleet.ledger.tasks(&[]), 12);
     verify_streams(&operator.client).await.unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tasks_move_while_agent_is_frozen() {
+async fn tasks_rescheduled_while_agent_frozen() {
     // The lease is longer than the membership takes to give the agent up.
     let plan = FleetPlan { lease_ttl_ms: 8_000, ..FleetPlan::default() };
     let (fleet, operator) = start_with(plan).await;
@@ -141,21 +141,21 @@
     fleet.agents[0].signal(Signal::SIGCONT);
     wait_done(&operator, "settlement").await;
     let tasks = fleet.ledger.tasks(&[]);
-    assert_once(&tasks, 20);
+    assert_done_once(&tasks, 20);
     let moved = tasks.attempts.iter().filter(|(_, attempt)| *attempt > 1).count();
     assert!(moved > 0, "no task moved away from the frozen agent");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tasks_resumed_once_after_planned_stop() {
+async fn tasks_resumed_once_after_graceful_shutdown() {
     let (mut fleet, operator) = start().await;
     operator.submit_job("settlement", short_job(20, 4_000)).await.unwrap();
     wait_running(&operator, "settlement").await;
     sleep(Duration::from_millis(800)).await;
-    assert!(fleet.agents[1].stop(RECOVERY_LIMIT).await);
+    assert!(fleet.agents[1].stop(RECOVERY_TIMEOUT).await);
     wait_done(&operator, "settlement").await;
     let tasks = fleet.ledger.tasks(&[]);
-    assert_once(&tasks, 20);
+    assert_done_once(&tasks, 20);
     assert!(!tasks.resumed.is_empty());
     assert!(tasks.resumed.iter().all(|(_, attempt)| *attempt == 2), "{:?}", tasks.resumed);
 }
@@ -166,11 +166,11 @@
     let record = operator.submit_job("settlement", short_job(6, 60_000)).await.unwrap();
     wait_running(&operator, "settlement").await;
     let path = "/records/job/settlement";
-    let seen = Some(record.revision);
+    let expected = Some(record.revision);
     let withdrawn: Result<Record, _> =
-        operator.client.command(Method::DELETE, path, seen, None::<&()>).await;
+        operator.client.command(Method::DELETE, path, expected, None::<&()>).await;
     withdrawn.unwrap();
-    let is_idle = wait_until(RECOVERY_LIMIT, || async {
+    let is_idle = wait_until(RECOVERY_TIMEOUT, || async {
         let mut running = 0.0;
         for agent in 0..fleet.plan.agents {
             let status = fleet.agent_status(agent).await.unwrap_or_default();
@@ -185,13 +185,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn impossible_job_parked_and_others_run() {
+async fn unplaceable_job_parked_and_others_run() {
     let (_fleet, operator) = start().await;
     let huge = LabJob { tasks: 2, cpu_milli: 1_000_000, run_ms: 100, urgency: 0 };
     operator.submit_job("huge", huge).await.unwrap();
     operator.submit_job("small", short_job(4, 100)).await.unwrap();
     wait_done(&operator, "small").await;
-    let is_parked = wait_until(RECOVERY_LIMIT, || async {
+    let is_parked = wait_until(RECOVERY_TIMEOUT, || async {
         operator.job("huge").await.is_ok_and(|view| view.counts.parked == 2)
     })
     .await;
@@ -199,7 +199,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn start_repeated_when_worker_never_heard_of_it() {
+async fn start_resent_when_worker_never_received_it() {
     let plan =
         FleetPlan { agents: 1, has_workers: true, lease_ttl_ms: 60_000, ..FleetPlan::default() };
     let mut fleet = start_processes(plan).await;
@@ -212,27 +212,27 @@
     // agent that waits for its silent worker already grants no room: then the worker is woken, and
     // the next job tries.
     let mut job = String::new();
-    let mut is_taken = false;
-    for round in 1..=ROUNDS {
+    let mut is_accepted = false;
+    for round in 1..=MAX_ROUNDS {
         job = format!("silent-{round}");
         fleet.workers[0].signal(Signal::SIGSTOP);
         operator.submit_job(&job, short_job(1, 50)).await.unwrap();
-        is_taken = wait_until(Duration::from_secs(1), || async {
+        is_accepted = wait_until(Duration::from_secs(1), || async {
             operator.job(&job).await.is_ok_and(|view| view.counts.running > 0)
         })
         .await;
         done += 1;
-        if is_taken {
+        if is_accepted {
             break;
         }
         fleet.workers[0].signal(Signal::SIGCONT);
         wait_done(&operator, &job).await;
     }
-    assert!(is_taken, "no start was taken beside a silent worker in {ROUNDS} rounds");
+    assert!(is_accepted, "no start was taken beside a silent worker in {MAX_ROUNDS} rounds");
     sleep(Duration::from_millis(2_500)).await;
     fleet.agents[0].kill();
     fleet.workers[0].signal(Signal::SIGCONT);
     fleet.agents[0] = fleet.spawn_agent(0).unwrap();
     wait_done(&operator, &job).await;
-    assert_once(&fleet.ledger.tasks(&[]), done);
+    assert_done_once(&fleet.ledger.tasks(&[]), done);
 }
--- a/crates/teaseltrack-lab/tests/util.rs
+++ b/crates/teaseltrack-lab/tests/util.rs
@@ -11,7 +11,7 @@
 };
 
 /// Time for a fleet to recover; far above what is measured, so that a busy machine passes too.
-pub const RECOVERY_LIMIT: Duration = Duration::from_secs(30);
+pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A small fleet of real processes with a service in force.
 pub async fn start_processes(plan: FleetPlan) -> ProcessFleet {
@@ -20,18 +20,18 @@
         .submit_service("tickets", 5_000)
         .await
         .unwrap();
-    wait_in_force(&fleet).await;
+    wait_records_applied(&fleet).await;
     fleet
 }
 
 /// Waits until every entry has a record in force.
-pub async fn wait_in_force(fleet: &ProcessFleet) {
+pub async fn wait_records_applied(fleet: &ProcessFleet) {
     for index in 0..fleet.plan.entries {
-        let is_in_force = wait_until(RECOVERY_LIMIT, || async {
+        let is_applied = wait_until(RECOVERY_TIMEOUT, || async {
             fleet.entry_status(index).await.is_some_and(|status| status["records"] != 0)
         })
         .await;
-        assert!(is_in_force, "entry {index} has no records");
+        assert!(is_applied, "entry {index} has no records");
     }
 }
 
@@ -50,7 +50,7 @@
 /// Waits until short loads are answered whole again.
 pub async fn wait_served(fleet: &ProcessFleet, name: &str) {
     let mut round = 0;
-    let is_served = wait_until(RECOVERY_LIMIT, || {
+    let is_served = wait_until(RECOVERY_TIMEOUT, || {
         round += 1;
         let plan = LoadPlan {
             duration: Duration::from_millis(300),
@@ -84,7 +84,7 @@
 
 /// Waits until all tasks of a job are done.
 pub async fn wait_done(operator: &Operator, job: &str) {
-    let is_done = wait_until(RECOVERY_LIMIT, || async {
+    let is_done = wait_until(RECOVERY_TIMEOUT, || async {
         let view = operator.job(job).await;
         view.is_ok_and(|view| view.counts.done as usize == view.tasks.len())
     })
--- a/crates/teaseltrack-lab/tests/whole_path.rs
+++ b/crates/teaseltrack-lab/tests/whole_path.rs
@@ -30,7 +30,7 @@
     fleet.entries[1].kill();
     fleet.entries[1] = fleet.spawn_entry(1).unwrap();
     fleet.wait_ready().await.unwrap();
-    util::wait_in_force(&fleet).await;
+    util::wait_records_applied(&fleet).await;
     wait_served(&fleet, "with-new-entry").await;
 
     let result = send_load(load(&fleet, "after")).await;
