--- a/crates/teaseltrack-lab/src/experiments.rs
+++ b/crates/teaseltrack-lab/src/experiments.rs
@@ -1,4 +1,4 @@
-//! Experiments: each prints the metrics of one run.
+//! Experiments, each of which runs a fleet and prints a report of its metrics.
 
 pub mod chaos;
 pub mod drain;
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 ///
-/// The fleet can't be started.
+/// The name is unknown, or the experiment fails.
 pub async fn run(options: &RunOptions) -> Result<(), LabError> {
     let mut report = Report::new(&options.name, options.seed);
     match options.name.as_str() {
@@ -34,7 +34,7 @@
         "outage" => outage::run(options.seed, &mut report).await?,
         "chaos" => chaos::run(options.seed, &mut report).await?,
         "slopes" => slopes::run(options.seed, &mut report).await?,
-        name => return Err(format!("no experiment is called {name}").into()),
+        name => return Err(format!("unknown experiment: {name}").into()),
     }
     if options.is_json {
         println!("{}", report.json());
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// The fleet can't be started, or a promise was broken.
+/// The fleet can't be started, or an invariant was violated.
 pub async fn soak(options: soak::SoakOptions) -> Result<(), LabError> {
     let mut report = Report::new("soak", options.seed);
     soak::run(options, &mut report).await?;
--- a/crates/teaseltrack-lab/src/experiments/chaos.rs
+++ b/crates/teaseltrack-lab/src/experiments/chaos.rs
@@ -1,4 +1,6 @@
-//! Random faults on a fleet of real processes under load of both kinds; nothing may break.
+//! Random faults on a fleet of real processes that serves requests and runs tasks.
+//!
+//! The report counts violations of invariants; each such count should be zero.
 
 use std::time::{Duration, Instant};
 
@@ -19,16 +21,16 @@
     report::Report,
 };
 
-/// Agents, each with a target and a worker.
+/// Number of agents, each with a target and a worker.
 const AGENTS: usize = 4;
-/// Time for which faults come.
+/// Duration of the load and of fault injection.
 const INJECTION_DURATION: Duration = Duration::from_secs(60);
-/// Time for everything to end well afterwards.
+/// Timeout for all tasks to complete after the last fault.
 const COMPLETION_TIMEOUT: Duration = Duration::from_secs(90);
-/// Time for a planned stop.
+/// Timeout of a graceful shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Faults that are injected, each as likely as the others.
+/// Injected faults, chosen with equal probability.
 const FAULTS: [Fault; 8] = [
     Fault::KillAgent,
     Fault::FreezeAgent,
@@ -63,7 +65,7 @@
 ///
 /// # Errors
 ///
-/// The fleet can't be started, or an invariant broke.
+/// The fleet can't be started, a fault can't be injected, or a journal can't be verified.
 pub async fn run(seed: u64, report: &mut Report) -> Result<(), LabError> {
     let plan = FleetPlan { agents: AGENTS, has_workers: true, ..FleetPlan::default() };
     let fleet = ProcessFleet::start(plan).await?;
@@ -131,7 +133,7 @@
 }
 
 impl Chaos {
-    /// Injects one fault and waits a little.
+    /// Injects a random fault, and pauses for a random time afterwards.
     async fn inject(&mut self) -> Result<(), LabError> {
         let fault = FAULTS[self.rng.random_range(0..FAULTS.len())];
         let index = self.rng.random_range(0..AGENTS);
--- a/crates/teaseltrack-lab/src/experiments/drain.rs
+++ b/crates/teaseltrack-lab/src/experiments/drain.rs
@@ -1,4 +1,5 @@
-//! Rolling planned stops of every process under load: nothing is connect_failed off.
+//! Rolling graceful shutdowns of targets, agents and an entry under load; no request may be
+//! interrupted.
 
 use std::time::{Duration, Instant};
 
@@ -14,17 +15,17 @@
     report::Report,
 };
 
-/// Requests a second.
+/// Mean requests per second.
 const RATE_PER_S: f64 = 200.0;
-/// Time of the load.
+/// Duration of the load.
 const LOAD_DURATION: Duration = Duration::from_secs(32);
-/// Time between planned stops.
+/// Interval between graceful shutdowns.
 const SHUTDOWN_INTERVAL: Duration = Duration::from_secs(2);
-/// Time for a planned stop.
+/// Timeout of a graceful shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time after which a draining target gets no new work.
+/// Time after which a draining target must not receive new requests.
 const DRAIN_NOTICE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Targets.
+/// Number of agents, each with a target.
 const AGENTS: usize = 3;
 
 /// Runs the experiment.
@@ -39,7 +40,8 @@
     operator.submit_service("tickets", 2_000).await?;
     sleep(Duration::from_secs(3)).await;
     let load = LoadPlan {
-        // Entry 0 stays: a balancer would take a stopping entry out by its readiness.
+        // Entry 0 isn't shut down: without a load balancer that checks readiness, callers would
+        // keep sending to a draining entry.
         addresses: vec![fleet.plan.caller_address(0)],
         name: "drain".to_owned(),
         rate_per_s: RATE_PER_S,
@@ -89,11 +91,11 @@
     Ok(())
 }
 
-/// Requests that a draining target began after the draining time, until now.
+/// Counts the requests that a draining target started after `DRAIN_NOTICE_TIMEOUT`.
 fn count_late_starts(fleet: &ProcessFleet, index: usize, drain_started_at: Instant) -> u64 {
-    let draining = fleet.plan.target_address(index);
+    let draining_target = fleet.plan.target_address(index);
     let started_late = |(at, event): &(Instant, LedgerEvent)| {
-        matches!(event, LedgerEvent::RequestStarted { target, .. } if *target == draining)
+        matches!(event, LedgerEvent::RequestStarted { target, .. } if *target == draining_target)
             && *at > drain_started_at + DRAIN_NOTICE_TIMEOUT
     };
     fleet.ledger.events().iter().filter(|event| started_late(event)).count() as u64
--- a/crates/teaseltrack-lab/src/experiments/flood.rs
+++ b/crates/teaseltrack-lab/src/experiments/flood.rs
@@ -1,4 +1,5 @@
-//! How much service the other work keeps when one class floods in, against one FIFO queue.
+//! Goodput of the other classes when one class exceeds the capacity, compared with a single FIFO
+//! queue.
 
 use std::time::Duration;
 
@@ -13,19 +14,19 @@
     target::TargetBehaviour,
 };
 
-/// Time of one load.
+/// Duration of each load.
 const LOAD_DURATION: Duration = Duration::from_secs(8);
-/// Targets.
+/// Number of agents, each with a target.
 const AGENTS: usize = 2;
-/// Time that each request takes, in milliseconds.
+/// Service time of a request, in milliseconds.
 const SERVICE_TIME_MS: f64 = 50.0;
-/// Share of the capacity that each other class asks for.
+/// Request rate of each other class, relative to the capacity.
 const OTHER_RATIO: f64 = 0.15;
-/// Flood over capacity.
+/// Request rate of the flooding class, relative to the capacity.
 const FLOOD_RATIO: f64 = 10.0;
-/// Time-out of all requests.
+/// Timeout of every request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// RFC 9218 urgency of the most urgent, the normal and the least urgent class.
+/// RFC 9218 urgencies of the classes: most urgent, normal, least urgent.
 const URGENCIES: [u32; 3] = [0, 3, 7];
 
 /// Runs the experiment.
@@ -70,8 +71,10 @@
     Ok(())
 }
 
-/// Sends all classes at once. Without classes all requests are of one class and one team, which makes
-/// each agent's queue a single FIFO.
+/// Sends the loads of all classes concurrently.
+///
+/// Without classes, all requests have the same class and team, so that each agent queues them in a
+/// single FIFO.
 async fn send_all(
     fleet: &Fleet,
     capacity_per_s: f64,
@@ -99,7 +102,11 @@
     vec![first, second, third]
 }
 
-/// Waits until both entries answer for the service.
+/// Waits until a short load on all entries is fully answered.
+///
+/// # Errors
+///
+/// Requests still fail after 15 s.
 pub async fn wait_ready(fleet: &Fleet) -> Result<(), LabError> {
     let is_ready = wait_until(Duration::from_secs(15), || async {
         let result = send_load(LoadPlan {
@@ -114,5 +121,9 @@
         result.count(RequestOutcome::Answered) == result.requests.len() as u64
     })
     .await;
-    if is_ready { Ok(()) } else { Err("the fleet isn't ready".into()) }
+    if is_ready {
+        Ok(())
+    } else {
+        Err("fleet isn't ready: not every request was answered within 15 s".into())
+    }
 }
--- a/crates/teaseltrack-lab/src/experiments/kill.rs
+++ b/crates/teaseltrack-lab/src/experiments/kill.rs
@@ -1,4 +1,4 @@
-//! Instances killed and frozen under load: what callers see, and how soon service is whole again.
+//! Agents and targets killed and frozen under load: outcomes of requests, and recovery times.
 
 use std::time::{Duration, Instant};
 
@@ -14,15 +14,15 @@
     report::Report,
 };
 
-/// Time of the load.
+/// Duration of the load.
 const LOAD_DURATION: Duration = Duration::from_secs(30);
-/// Requests a second.
+/// Mean requests per second.
 const RATE_PER_S: f64 = 200.0;
-/// Time between faults.
+/// Interval between faults.
 const FAULT_INTERVAL: Duration = Duration::from_secs(5);
-/// Time for which a process is frozen.
+/// Duration of a freeze.
 const FREEZE_DURATION: Duration = Duration::from_secs(3);
-/// Targets.
+/// Number of agents, each with a target.
 const AGENTS: usize = 5;
 
 /// Runs the experiment.
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-/// Kills and freezes one of each; the names of the faults and when they came.
+/// Kills and freezes an agent and a target each; returns the names and times of the faults.
 async fn inject(fleet: &mut ProcessFleet) -> Result<Vec<(&'static str, Instant)>, LabError> {
     let mut faults = Vec::new();
     sleep(FAULT_INTERVAL).await;
@@ -90,7 +90,8 @@
     Ok(faults)
 }
 
-/// Time from the fault to the sending of the last request before the next fault that wasn't answered.
+/// Time from a fault to the sending of the last request that wasn't answered in time, up to the
+/// next fault.
 fn recovery_time(result: &LoadResult, injected_at: Instant) -> Duration {
     let window = injected_at..injected_at + FAULT_INTERVAL;
     result
--- a/crates/teaseltrack-lab/src/experiments/outage.rs
+++ b/crates/teaseltrack-lab/src/experiments/outage.rs
@@ -1,4 +1,5 @@
-//! The platform's store gone under load: nothing is lost, nothing runs twice, all of it goes on.
+//! Outage of the platform's store under load: no request or task may be lost or duplicated, and
+//! processing must resume afterwards.
 
 use std::time::{Duration, Instant};
 
@@ -14,22 +15,22 @@
     report::Report,
 };
 
-/// Time for which the store is gone.
+/// Duration of the outage.
 const OUTAGE_DURATION: Duration = Duration::from_secs(60);
-/// Time of the load before and after.
+/// Duration of the load before and after the outage.
 const LOAD_MARGIN: Duration = Duration::from_secs(5);
-/// Tasks that run when the store goes.
+/// Number of tasks that are running when the outage starts.
 const TASKS: u32 = 40;
-/// Run time of a task, longer than the outage, in milliseconds.
+/// Run time of a task, in milliseconds.
 const RUN_MS: u64 = 40_000;
-/// Time for all tasks to finish.
+/// Timeout for tasks to complete after the outage.
 const COMPLETION_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Runs the experiment.
 ///
 /// # Errors
 ///
-/// The fleet can't be started, or a job is refused.
+/// The fleet can't be started, or a job is rejected.
 pub async fn run(seed: u64, report: &mut Report) -> Result<(), LabError> {
     let plan = FleetPlan {
         has_workers: true,
--- a/crates/teaseltrack-lab/src/experiments/overhead.rs
+++ b/crates/teaseltrack-lab/src/experiments/overhead.rs
@@ -1,4 +1,5 @@
-//! What the path through entry and agent costs, against calling targets directly.
+//! Latency and CPU overhead of requests through entry and agent, compared with direct requests to
+//! the targets.
 
 use std::time::Duration;
 
@@ -11,15 +12,16 @@
     report::{Report, median},
 };
 
-/// Rounds of each way, alternating.
+/// Number of rounds; each sends a direct load and a load through the entry.
 const ROUNDS: u64 = 3;
-/// Time of one round.
+/// Duration of each load.
 const ROUND_DURATION: Duration = Duration::from_secs(4);
-/// Time that each request takes at the target, in milliseconds.
+/// Service time of a request at the target, in milliseconds.
 const SERVICE_TIME_MS: f64 = 5.0;
-/// Share of the targets' capacity that is used.
+/// Utilization of the targets.
 const UTILIZATION: f64 = 0.5;
-/// Targets; with one, both ways queue alike and differ only in the path.
+/// Number of targets; with a single one, queueing is the same in both cases and only the path
+/// differs.
 const AGENTS: usize = 1;
 
 /// Runs the experiment.
--- a/crates/teaseltrack-lab/src/experiments/slopes.rs
+++ b/crates/teaseltrack-lab/src/experiments/slopes.rs
@@ -1,8 +1,8 @@
-//! What control costs a node, against the size of the fleet.
+//! Cost of the control plane per node, by fleet size.
 //!
-//! Entries and agents are real processes; workers and the platform are in this one. Each size is left
-//! alone for a while, then one target announces itself and one record changes, and all processes are
-//! asked until they know.
+//! Entries and agents are real processes; workers and the platform run in this process. At each
+//! size, the idle cost is measured first. Then records are submitted and targets are started, one
+//! at a time, and all processes are polled until each change has reached them.
 
 use std::{
     net::SocketAddr,
@@ -25,26 +25,26 @@
     worker::Worker,
 };
 
-/// Numbers of agents.
+/// Fleet sizes, in agents.
 const SIZES: [usize; 3] = [11, 44, 176];
-/// Entries at each size.
+/// Number of entries at each size.
 const ENTRIES: usize = 2;
-/// Time for which a fleet is left alone while its cost is measured.
+/// Duration of the idle measurement.
 const IDLE_DURATION: Duration = Duration::from_secs(12);
-/// Time for a fleet to find itself and settle.
+/// Timeout for every process to discover all members.
 const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time for changes to spread.
+/// Timeout for a change to reach all processes.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(20);
-/// Changes whose spread is measured.
+/// Number of changes whose propagation is measured.
 const CHANGES: usize = 5;
-/// Records submitted to measure what one costs in memory.
+/// Number of records submitted to measure the memory per record.
 const RECORDS: usize = 400;
 
 /// Runs the experiment.
 ///
 /// # Errors
 ///
-/// A fleet can't be started.
+/// A fleet can't be started, or a change doesn't reach all processes in time.
 pub async fn run(seed: u64, report: &mut Report) -> Result<(), LabError> {
     for size in SIZES {
         run_size(size, seed, report).await?;
@@ -83,7 +83,7 @@
     Ok(())
 }
 
-/// Processor time, memory, bytes and calls while nothing happens.
+/// Measures CPU time, memory, control traffic and store calls of an idle fleet.
 async fn measure_idle(fleet: &ProcessFleet, size: usize, report: &mut Report) {
     let before = statuses(&fleet.plan).await;
     let cpu_before = (cpu_s(&fleet.entries), cpu_s(&fleet.agents));
@@ -123,7 +123,7 @@
     }
 }
 
-/// Time from the acceptance of a record until it is in force everywhere.
+/// Measures the time from the acceptance of a record until every process has applied it.
 async fn measure_configuration(
     fleet: &ProcessFleet,
     size: usize,
@@ -143,7 +143,7 @@
     Ok(())
 }
 
-/// Time from a target's start until all processes know of it.
+/// Measures the time from the start of a target until every process has discovered it.
 async fn measure_membership(
     fleet: &ProcessFleet,
     size: usize,
@@ -162,7 +162,7 @@
         })
         .await;
         if !is_discovered {
-            return Err("entries don't know of a target".into());
+            return Err("not every entry discovered the started target".into());
         }
         entry_discovery_s.push(started_at.elapsed().as_secs_f64());
         wait_for_status(fleet, "targets", change as u64 + 1, PROPAGATION_TIMEOUT).await?;
@@ -173,7 +173,7 @@
     Ok(())
 }
 
-/// Memory that a record in force takes at an agent.
+/// Measures the memory per applied record at an agent.
 async fn measure_records(fleet: &ProcessFleet, report: &mut Report) -> Result<(), LabError> {
     let before_mb = memory_mb(&fleet.agents);
     let operator = Operator::new(fleet.plan.operator_address(1), "lab");
@@ -190,6 +190,7 @@
     Ok(())
 }
 
+/// Waits until a number in the status of every process has reached a value.
 async fn wait_for_status(
     fleet: &ProcessFleet,
     field: &str,
@@ -205,10 +206,10 @@
     }
     let values: Vec<f64> =
         statuses(&fleet.plan).await.iter().map(|status| number(status, field)).collect();
-    Err(format!("{field} isn't {value} everywhere: {values:?}").into())
+    Err(format!("{field} didn't reach {value} on every process: {values:?}").into())
 }
 
-/// Status of all processes, entries first; null for one that doesn't answer.
+/// Queries the status of all processes, entries first; null for a process that doesn't respond.
 async fn statuses(plan: &FleetPlan) -> Vec<Value> {
     let entries = (0..plan.entries).map(|index| plan.entry_health_address(index));
     let agents = (0..plan.agents).map(|index| plan.agent_health_address(index));
--- a/crates/teaseltrack-lab/src/experiments/slow_target.rs
+++ b/crates/teaseltrack-lab/src/experiments/slow_target.rs
@@ -1,4 +1,4 @@
-//! What one slow target among many does to the tail, against choosing targets at random.
+//! Effect of one slow target on tail latency, compared with random target selection.
 
 use std::time::Duration;
 
@@ -15,15 +15,15 @@
     target::TargetBehaviour,
 };
 
-/// Targets.
+/// Number of agents, each with a target.
 const AGENTS: usize = 11;
-/// Time that each request takes, in milliseconds.
+/// Service time of a request, in milliseconds.
 const SERVICE_TIME_MS: f64 = 10.0;
-/// How much slower the slow target is.
+/// Factor on the service time of the slow target.
 const SLOWDOWN: f64 = 20.0;
-/// Requests a second.
+/// Mean requests per second.
 const RATE_PER_S: f64 = 800.0;
-/// Time of one load.
+/// Duration of each load.
 const LOAD_DURATION: Duration = Duration::from_secs(6);
 
 /// Runs the experiment.
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// Sends a load entries the entries, or targets to targets in turns of a random order.
+/// Sends a load through the entries, or directly to randomly chosen targets.
 async fn send(fleet: &Fleet, name: &str, seed: u64, is_random: bool) -> LoadResult {
     let entries: Vec<_> =
         (0..fleet.plan.entries).map(|entry| fleet.plan.caller_address(entry)).collect();
--- a/crates/teaseltrack-lab/src/experiments/soak.rs
+++ b/crates/teaseltrack-lab/src/experiments/soak.rs
@@ -1,9 +1,9 @@
-//! Random faults in overlapping series on a fleet of real processes, which keeps its promises.
+//! Overlapping series of random faults on a fleet of real processes, with checks of invariants.
 //!
-//! Each of a few injectors draws a process or a link and strikes it several times in a row, so that
-//! faults overlap and meet processes that are just starting or stopping. What callers, targets and
-//! workers saw is checked while it goes on; the first violations promise ends the run with all that is
-//! known of it.
+//! Several concurrent injectors each choose a process, a link or the store and inject a series of
+//! faults there. Faults therefore overlap and also hit processes that are starting or shutting
+//! down. Invariants on executed requests and tasks are checked during the run; the first violation
+//! ends the run with diagnostics.
 
 use std::{
     sync::{
@@ -34,37 +34,37 @@
     report::Report,
 };
 
-/// Agents, each with a target and a worker.
+/// Number of agents, each with a target and a worker.
 const AGENTS: usize = 5;
-/// Series of faults at a time.
+/// Number of concurrent injectors.
 const INJECTORS: u64 = 3;
-/// Most faults of one series.
+/// Maximum faults of a series.
 const MAX_FAULTS_PER_SERIES: u32 = 4;
-/// Time between two looks at what was promised.
+/// Interval between checks of the invariants.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for everything to end well afterwards.
+/// Timeout for all tasks to complete after the last fault.
 const COMPLETION_TIMEOUT: Duration = Duration::from_secs(90);
-/// Time for a planned stop.
+/// Timeout of a graceful shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(40);
-/// Tasks of each job.
+/// Number of tasks of each job.
 pub(super) const JOB_TASKS: u32 = 8;
-/// Time between two jobs.
+/// Interval between job submissions.
 const JOB_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Share of the store's answers that get lost.
+/// Fraction of store writes whose response is lost.
 const LOST_RESPONSE_RATIO: f64 = 0.4;
-/// Delay of a slow link and of a slow store.
+/// Additional latency of a slow link or a slow store.
 const INJECTED_DELAY: Duration = Duration::from_millis(250);
 
 /// Options of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakOptions {
-    /// Seed of all faults.
+    /// Seed of faults and load.
     pub seed: u64,
-    /// Time for which faults come.
+    /// Duration of the load and of fault injection.
     pub duration: Duration,
 }
 
-/// What a series strikes.
+/// Component that a series of faults affects.
 #[derive(Clone, Copy, Debug)]
 enum FaultSite {
     Process(ProcessKey),
@@ -72,7 +72,7 @@
     Store,
 }
 
-/// State that injectors share.
+/// State shared by the injectors.
 struct Soak {
     fleet: Mutex<ProcessFleet>,
     ledger: Ledger,
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 ///
-/// The fleet can't be started, or a promise was broken.
+/// The fleet can't be started, or an invariant was violated.
 pub async fn run(options: SoakOptions, report: &mut Report) -> Result<(), LabError> {
     let plan =
         FleetPlan { agents: AGENTS, has_workers: true, has_relays: true, ..FleetPlan::default() };
@@ -167,7 +167,7 @@
     Err(format!("seed {}: {}\n{}", options.seed, names.join(", "), report.text()).into())
 }
 
-/// Submits jobs of short tasks while faults come; the names of those that were accepted.
+/// Submits jobs of short tasks during fault injection; returns the names of accepted jobs.
 pub(super) async fn submit_jobs(operator: Operator, ends_at: Instant) -> Vec<String> {
     let mut jobs = Vec::new();
     for number in 0_u64.. {
@@ -177,7 +177,7 @@
         let name = format!("job-{number}");
         let run_ms = 300 + 400 * (number % 5);
         let job = LabJob { tasks: JOB_TASKS, cpu_milli: 500, run_ms, urgency: 6 };
-        // An unknown outcome is settled by looking: the job is there as a whole or not at all.
+        // A submission is atomic, so a query of the record resolves an unknown outcome.
         let is_accepted = operator.submit_job(&name, job).await.is_ok()
             || wait_until(Duration::from_secs(20), || async {
                 let path = format!("/records/job/{name}");
@@ -192,7 +192,7 @@
     jobs
 }
 
-/// Says which tasks aren't done, where they are, and who owns their job's shard.
+/// Prints the tasks of unfinished jobs, the heads of their journals and the status of all agents.
 pub(super) async fn print_unfinished(fleet: &ProcessFleet, operator: &Operator, jobs: &[String]) {
     for name in jobs {
         let head = keys::head(&stream_of(shard_of(name)));
@@ -208,7 +208,7 @@
     }
 }
 
-/// Prints all that happened to tasks that finished more than once.
+/// Prints the events and decisions of tasks that completed more than once.
 pub(super) async fn print_duplicated(
     ledger: &Ledger,
     killed_workers: &[(String, Instant)],
@@ -237,7 +237,7 @@
 }
 
 impl Soak {
-    /// Injects series of faults until the time is over.
+    /// Injects series of faults until the end of the injection period.
     async fn inject(self: Arc<Self>, mut rng: ChaCha8Rng) -> Result<(), LabError> {
         while Instant::now() < self.ends_at {
             let site = choose_fault_site(&mut rng);
@@ -268,7 +268,7 @@
                 self.signal(key, Signal::SIGCONT).await;
                 Ok(())
             }
-            // Workers and targets have no planned stop of their own.
+            // Workers and targets are killed instead of shut down gracefully.
             _ if matches!(key.0, Role::Worker | Role::Target) => {
                 self.kill(key, Duration::ZERO).await
             }
@@ -291,7 +291,7 @@
         if fleet.process(key).has_exited() { fleet.respawn(key) } else { Ok(()) }
     }
 
-    /// Asks for a planned stop, and starts the process again once it has ended.
+    /// Requests a graceful shutdown and restarts the process after its exit; kills it on timeout.
     async fn stop(&self, key: ProcessKey) -> Result<(), LabError> {
         let id = self.fleet.lock().await.process(key).id();
         self.signal(key, Signal::SIGTERM).await;
@@ -344,7 +344,7 @@
         self.fleet.lock().await.platform.set_faults(Faults::default());
     }
 
-    /// Ends all faults.
+    /// Clears all faults, resumes frozen processes and restarts those that have exited.
     async fn clear_faults(&self) -> Result<(), LabError> {
         let mut fleet = self.fleet.lock().await;
         fleet.platform.set_faults(Faults::default());
@@ -360,7 +360,7 @@
         Ok(())
     }
 
-    /// Compares what ran with what was promised.
+    /// Checks the ledger for violations of the invariants on requests and tasks.
     async fn check_invariants(&self, operator: &Operator) -> Result<(), LabError> {
         let killed = self.killed_workers.lock().await.clone();
         let tasks = self.ledger.tasks(&killed);
@@ -380,11 +380,11 @@
             return Ok(());
         }
         print_duplicated(&self.ledger, &killed, operator).await;
-        Err(format!("promise broken: {}", violations.join(", ")).into())
+        Err(format!("invariants violated: {}", violations.join(", ")).into())
     }
 }
 
-/// The first entry is spared: it takes the load whose answers are checked.
+/// Chooses a random component, except entry 0, which receives the load whose responses are checked.
 fn choose_fault_site(rng: &mut ChaCha8Rng) -> FaultSite {
     let index = rng.random_range(0..AGENTS);
     match rng.random_range(0..10) {
--- a/crates/teaseltrack-lab/src/experiments/starts.rs
+++ b/crates/teaseltrack-lab/src/experiments/starts.rs
@@ -1,4 +1,4 @@
-//! Task starts at the peak rate through a table with a limit on writes, and how soon urgent ones start.
+//! Task starts at the peak rate with a write-limited store, and start latency of urgent tasks.
 
 use std::{
     collections::BTreeMap,
@@ -15,30 +15,30 @@
     report::Report,
 };
 
-/// Agents.
+/// Number of agents.
 const AGENTS: usize = 8;
-/// Time for which jobs are submitted.
+/// Duration of job submission.
 const LOAD_DURATION: Duration = Duration::from_secs(10);
-/// Tasks that should start each second.
+/// Submitted batch tasks per second.
 const STARTS_PER_S: u32 = 900;
-/// Batch jobs a second, so that their shards differ.
+/// Batch jobs per second; several, to distribute the tasks over shards.
 const JOBS_PER_S: u32 = 6;
-/// Time between urgent jobs.
+/// Interval between urgent jobs.
 const URGENT_INTERVAL: Duration = Duration::from_millis(250);
 /// Run time of a task, in milliseconds.
 const RUN_MS: u64 = 1_000;
-/// Processor use of a task, in thousandths of a core.
+/// CPU demand of a task, in thousandths of a core.
 const TASK_CPU_MILLI: u64 = 100;
-/// Time for the shards to find owners.
+/// Time for all shards to be assigned owners.
 const SETTLE_DURATION: Duration = Duration::from_secs(6);
-/// Time for all tasks to finish.
+/// Timeout for all tasks to complete.
 const COMPLETION_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Runs the experiment.
 ///
 /// # Errors
 ///
-/// The fleet can't be started, or a job is refused.
+/// The fleet can't be started, or a job is rejected.
 pub async fn run(_seed: u64, report: &mut Report) -> Result<(), LabError> {
     let plan = FleetPlan {
         agents: AGENTS,
@@ -91,7 +91,7 @@
     Ok(())
 }
 
-/// Submits batch jobs at a steady pace; the number of their tasks.
+/// Submits batch jobs at a constant rate; returns the number of their tasks.
 async fn submit_batch(operator: &Operator) -> Result<u32, LabError> {
     let start = tokio::time::Instant::now();
     let jobs = LOAD_DURATION.as_secs() as u32 * JOBS_PER_S;
@@ -104,7 +104,7 @@
     Ok(jobs * tasks)
 }
 
-/// Submits urgent jobs of one task; each task and when it was submitted.
+/// Submits urgent jobs of one task each; returns the tasks and their submission times.
 async fn submit_urgent(operator: &Operator) -> Result<Vec<(String, Instant)>, LabError> {
     let start = tokio::time::Instant::now();
     let jobs = (LOAD_DURATION.as_millis() / URGENT_INTERVAL.as_millis()) as u32;
@@ -119,7 +119,7 @@
     Ok(submitted)
 }
 
-/// When each task first executed.
+/// Time at which each task first started to run.
 fn first_runs(fleet: &Fleet) -> BTreeMap<String, Instant> {
     let mut first = BTreeMap::new();
     for (started_at, event) in fleet.ledger.events() {
--- a/crates/teaseltrack-lab/tests/attempts.rs
+++ b/crates/teaseltrack-lab/tests/attempts.rs
@@ -1,4 +1,8 @@
-//! An agent's attempts when its process has just started and doesn't know yet what its worker runs.
+//! Start orders to an agent that has restarted and not yet synced with its worker.
+//!
+//! A previous agent process has started the attempt on the worker. An owner that got no response
+//! resends the order. If the new process accepted it before its first sync, it would do so without
+//! knowledge of the running attempt.
 
 use std::{
     net::SocketAddr,
@@ -67,7 +71,7 @@
     AttemptKey { task: TaskId { job: "settlement".to_owned(), index: 0 }, attempt: 1 }
 }
 
-/// A worker on which an previous_agent agent process has started the attempt.
+/// Starts a worker on which a previous agent process has started the attempt.
 async fn start_worker(clock: &SharedClock) -> Worker {
     let options = WorkerOptions {
         address: LOOPBACK,
@@ -94,7 +98,7 @@
     worker
 }
 
-/// A new agent process on the same instance, without its lease.
+/// Starts the tasks part of a new agent process on the same instance, without a lease.
 async fn start_agent(worker: &Worker, clock: &SharedClock) -> Agent {
     let platform = Platform::start(&PlatformOptions {
         address: LOOPBACK,
@@ -114,14 +118,14 @@
         state: MemberState::Alive,
         target: None,
     };
-    let (updates, _) = mpsc::channel(1);
+    let (newer_peers, _) = mpsc::channel(1);
     let capacity = spawn_capacity(
         CapacityLimits { max_slots: 8, queue_per_class: 8, announcement_ttl: TIMEOUT },
         CapacityContext {
             logger: logs::silent(),
             clock: clock.clone(),
             metrics: Metrics::scrape_only(),
-            node: spawn_node(member, clock.clone(), logs::silent(), updates),
+            node: spawn_node(member, clock.clone(), logs::silent(), newer_peers),
             clients: ControlClients::new(Arc::new(ByteCount::default())),
         },
     );
@@ -146,7 +150,7 @@
 }
 
 impl Agent {
-    /// Sends the start again, as an owner does that got no answer; whether the agent took it.
+    /// Resends the start order, like an owner without a response; returns whether it was accepted.
     async fn resend_start(&self) -> bool {
         let owner = ShardOwner { shard: 0, epoch: 1, control_address: String::new() };
         let AttemptKey { task, attempt } = key();
@@ -163,7 +167,7 @@
     let clock: SharedClock = Arc::new(SystemClock);
     let worker = start_worker(&clock).await;
     let mut agent = start_agent(&worker, &clock).await;
-    assert!(!agent.resend_start().await, "taken without knowing what the worker runs");
+    assert!(!agent.resend_start().await, "start accepted before the first sync with the worker");
 
     let deadline = Instant::now() + Duration::from_secs(60);
     agent.lease.send_replace(Some(LeaseView { incarnation: INCARNATION, deadline }));
--- a/crates/teaseltrack-lab/tests/history.rs
+++ b/crates/teaseltrack-lab/tests/history.rs
@@ -1,4 +1,4 @@
-//! Journals on the store: racing owners, lost answers, segments moved away and read back.
+//! Journals in the store: concurrent appends, lost responses, and entries moved to the archive.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -68,7 +68,7 @@
     Decision::Parked { task, reason: "test".to_owned() }
 }
 
-/// Proves a stream whole; the authors of its entries in order.
+/// Verifies the hash chain of a stream; returns the authors of its entries in order.
 async fn authors(store: &Store, stream: &str) -> Vec<String> {
     let mut position = ChainPosition::default();
     let mut authors = Vec::new();
--- a/crates/teaseltrack-lab/tests/requests.rs
+++ b/crates/teaseltrack-lab/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests under failure: cuts, freezes, a store that is out, all of them checked against what ran.
+//! Requests under failure: closed connections, frozen processes, a store outage and graceful
+//! shutdowns. Outcomes are checked against the ledger of executed requests.
 
 mod util;
 
@@ -23,7 +24,7 @@
 use util::{assert_invariants, load, start_processes, wait_served};
 use yare::parameterized;
 
-/// A load through both entries of a fleet in this process.
+/// Sends a load through all entries of a fleet in this process.
 async fn send(fleet: &Fleet, name: &str) -> LoadResult {
     send_load(LoadPlan {
         addresses: (0..fleet.plan.entries).map(|entry| fleet.plan.caller_address(entry)).collect(),
@@ -138,7 +139,7 @@
     let result = send_load(load(&fleet, "outage")).await;
     assert_eq!(result.count(RequestOutcome::Answered), result.requests.len() as u64);
 
-    // An entry that starts during the outage learns records and targets from its peers.
+    // An entry that starts during the outage receives records and targets from its peers.
     fleet.entries[1].kill();
     fleet.entries[1] = fleet.spawn_entry(1).unwrap();
     fleet.wait_ready().await.unwrap();
@@ -149,8 +150,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_uninterrupted_by_graceful_shutdowns() {
-    // Requests take long, aren't idempotent and go to the entry's own zone, so that every stop finds
-    // some that it could cut off.
+    // Requests are slow, not idempotent and routed within the entry's zone, so that some are in
+    // progress at each shutdown and would fail if it interrupted them.
     let behaviour = TargetBehaviour { service_time_ms: 200.0, ..TargetBehaviour::default() };
     let plan = FleetPlan { agents: 2, drain_grace_ms: 1_000, behaviour, ..FleetPlan::default() };
     let mut fleet = start_processes(plan).await;
@@ -189,15 +190,15 @@
     operator.submit_service("tickets", 5_000).await.unwrap();
     let agent = fleet.plan.request_address(0);
     let is_forwarding = wait_until(util::RECOVERY_TIMEOUT, || forward(agent, "ready")).await;
-    assert!(is_forwarding, "the agent doesn't forward");
+    assert!(is_forwarding, "agent doesn't forward requests");
 
     let running_request = tokio::spawn(async move { forward(agent, "running").await });
     sleep(Duration::from_millis(300)).await;
     let target = fleet.targets[0].clone();
     let shutdown_task = tokio::spawn(async move { target.shut_down().await });
     sleep(Duration::from_millis(300)).await;
-    assert!(!forward(agent, "late").await, "a draining target got new work");
-    assert!(running_request.await.unwrap(), "a running request was cut off");
+    assert!(!forward(agent, "late").await, "draining target received a new request");
+    assert!(running_request.await.unwrap(), "running request was interrupted");
     shutdown_task.await.unwrap();
     assert!(!fleet.ledger.requests().runs.contains_key("late"));
 }
@@ -225,10 +226,10 @@
         status.is_ok_and(|status| status["requests_in_flight"] == 0)
     })
     .await;
-    assert!(is_free, "slots are still taken");
+    assert!(is_free, "slots are still in use");
 }
 
-/// Sends a request straight to an agent; whether the target answered it.
+/// Sends a request directly to an agent; returns whether the target responded.
 async fn forward(agent: SocketAddr, request_id: &str) -> bool {
     let Ok(call) = AgentConnections::default().connection(agent).await else { return false };
     let head = RequestHead {
--- a/crates/teaseltrack-lab/tests/soak.rs
+++ b/crates/teaseltrack-lab/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak with a fixed seed; longer ones are run by hand with `teaseltrack-lab soak`.
+//! Short soak with a fixed seed; longer soaks are run manually with `teaseltrack-lab soak`.
 
 use std::time::Duration;
 
--- a/crates/teaseltrack-lab/tests/tasks.rs
+++ b/crates/teaseltrack-lab/tests/tasks.rs
@@ -1,4 +1,5 @@
-//! Records and tasks under failure: races, lost answers, outages, frozen and stopped agents.
+//! Records and tasks under failure: concurrent changes, lost responses, store outages, frozen
+//! processes and agents that shut down.
 
 mod util;
 
@@ -24,11 +25,11 @@
 use tokio::time::sleep;
 use util::{RECOVERY_TIMEOUT, short_job, start_processes, wait_done};
 
-/// Rounds in which a start must have been taken beside a silent worker: an agent looks at its worker
-/// ten times a second, so that most first rounds do.
+/// Maximum rounds until a start must have been accepted while the worker is frozen. The agent syncs
+/// with its worker ten times a second, and most runs succeed in the first round.
 const MAX_ROUNDS: usize = 20;
 
-/// Three instances, each with room for eight tasks of a core.
+/// Starts three instances, each with capacity for eight tasks of one core.
 async fn start() -> (ProcessFleet, Operator) {
     start_with(FleetPlan::default()).await
 }
@@ -45,7 +46,7 @@
         operator.job(job).await.is_ok_and(|view| view.counts.running > 0)
     })
     .await;
-    assert!(is_running, "{job} doesn't run");
+    assert!(is_running, "no task of {job} is running");
 }
 
 fn assert_done_once(tasks: &TaskLedger, done: usize) {
@@ -67,7 +68,7 @@
     let (first, second) = tokio::join!(amend(operator, 2_000), amend(other, 3_000));
     let (winner, loser) = match (first, second) {
         (Ok(winner), Err(loser)) | (Err(loser), Ok(winner)) => (winner, loser),
-        both => panic!("not one winner: {both:?}"),
+        both => panic!("expected exactly one winner: {both:?}"),
     };
     let CliError::Call { source } = loser else { panic!("{loser:?}") };
     let CallError::Refused { problem } = *source else { panic!("{source:?}") };
@@ -130,7 +131,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn tasks_rescheduled_while_agent_frozen() {
-    // The lease is longer than the membership takes to give the agent up.
+    // The lease outlasts the failure detection of the membership.
     let plan = FleetPlan { lease_ttl_ms: 8_000, ..FleetPlan::default() };
     let (fleet, operator) = start_with(plan).await;
     operator.submit_job("settlement", short_job(20, 9_000)).await.unwrap();
@@ -143,7 +144,7 @@
     let tasks = fleet.ledger.tasks(&[]);
     assert_done_once(&tasks, 20);
     let moved = tasks.attempts.iter().filter(|(_, attempt)| *attempt > 1).count();
-    assert!(moved > 0, "no task moved away from the frozen agent");
+    assert!(moved > 0, "no task was rescheduled from the frozen agent");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -179,7 +180,7 @@
         running == 0.0
     })
     .await;
-    assert!(is_idle, "withdrawn tasks still run");
+    assert!(is_idle, "tasks of the withdrawn job still run");
     let counts = operator.job("settlement").await.unwrap().counts;
     assert_eq!((counts.cancelled, counts.running), (6, 0));
 }
@@ -208,9 +209,9 @@
     wait_done(&operator, "first").await;
     let mut done = 1;
 
-    // The agent takes the start, its worker doesn't answer, and the agent's process is replaced. An
-    // agent that waits for its silent worker already grants no room: then the worker is woken, and
-    // the next job tries.
+    // The agent accepts the start, its worker doesn't respond, and the agent's process is replaced.
+    // While an agent waits for the response to a sync it grants no reservations, so a round can
+    // fail; the worker is then resumed and the next round uses a new job.
     let mut job = String::new();
     let mut is_accepted = false;
     for round in 1..=MAX_ROUNDS {
@@ -228,7 +229,7 @@
         fleet.workers[0].signal(Signal::SIGCONT);
         wait_done(&operator, &job).await;
     }
-    assert!(is_accepted, "no start was taken beside a silent worker in {MAX_ROUNDS} rounds");
+    assert!(is_accepted, "no start was accepted with a frozen worker in {MAX_ROUNDS} rounds");
     sleep(Duration::from_millis(2_500)).await;
     fleet.agents[0].kill();
     fleet.workers[0].signal(Signal::SIGCONT);
--- a/crates/teaseltrack-lab/tests/util.rs
+++ b/crates/teaseltrack-lab/tests/util.rs
@@ -1,4 +1,4 @@
-//! What several test files use.
+//! Helpers shared by the test files.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -10,10 +10,10 @@
     processes::ProcessFleet,
 };
 
-/// Time for a fleet to recover; far above what is measured, so that a busy machine passes too.
+/// Timeout for a fleet to recover; generous, so that tests also pass on a busy machine.
 pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A small fleet of real processes with a service in force.
+/// Starts a fleet of real processes and waits until its service is applied.
 pub async fn start_processes(plan: FleetPlan) -> ProcessFleet {
     let fleet = ProcessFleet::start(plan).await.unwrap();
     Operator::new(fleet.plan.operator_address(0), "test")
@@ -24,18 +24,18 @@
     fleet
 }
 
-/// Waits until every entry has a record in force.
+/// Waits until every entry has applied a record.
 pub async fn wait_records_applied(fleet: &ProcessFleet) {
     for index in 0..fleet.plan.entries {
         let is_applied = wait_until(RECOVERY_TIMEOUT, || async {
             fleet.entry_status(index).await.is_some_and(|status| status["records"] != 0)
         })
         .await;
-        assert!(is_applied, "entry {index} has no records");
+        assert!(is_applied, "entry {index} has applied no records");
     }
 }
 
-/// A load on all entries of a fleet.
+/// Returns a load on all entries of a fleet.
 pub fn load(fleet: &ProcessFleet, name: &str) -> LoadPlan {
     LoadPlan {
         addresses: (0..fleet.plan.entries).map(|entry| fleet.plan.caller_address(entry)).collect(),
@@ -47,7 +47,7 @@
     }
 }
 
-/// Waits until short loads are answered whole again.
+/// Waits until a short load is fully answered.
 pub async fn wait_served(fleet: &ProcessFleet, name: &str) {
     let mut round = 0;
     let is_served = wait_until(RECOVERY_TIMEOUT, || {
@@ -63,10 +63,10 @@
         }
     })
     .await;
-    assert!(is_served, "{name}: requests aren't served again");
+    assert!(is_served, "{name}: no load was fully answered within the timeout");
 }
 
-/// Checks that nothing that must never happen did.
+/// Asserts that no invariant on requests was violated.
 pub fn assert_invariants(fleet: &ProcessFleet, result: &LoadResult) -> Verdict {
     let verdict = result.verdict(&fleet.ledger.requests());
     assert_eq!(verdict.duplicated, 0, "{verdict:?}");
@@ -77,17 +77,21 @@
     verdict
 }
 
-/// A job of short tasks.
+/// Returns a job of tasks with one core each.
 pub fn short_job(tasks: u32, run_ms: u64) -> LabJob {
     LabJob { tasks, cpu_milli: 1_000, run_ms, urgency: 6 }
 }
 
-/// Waits until all tasks of a job are done.
+/// Waits until all tasks of a job have completed.
 pub async fn wait_done(operator: &Operator, job: &str) {
     let is_done = wait_until(RECOVERY_TIMEOUT, || async {
         let view = operator.job(job).await;
         view.is_ok_and(|view| view.counts.done as usize == view.tasks.len())
     })
     .await;
-    assert!(is_done, "{job} isn't done: {:?}", operator.job(job).await.map(|view| view.counts));
+    assert!(
+        is_done,
+        "{job} didn't complete: {:?}",
+        operator.job(job).await.map(|view| view.counts)
+    );
 }
--- a/crates/teaseltrack-lab/tests/whole_path.rs
+++ b/crates/teaseltrack-lab/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! Real binaries as separate processes, killed one by one.
+//! End-to-end tests with real processes that are killed one after another: requests are served
+//! again after each kill, and tasks complete exactly once.
 
 mod util;
 
