--- a/crates/teaseltrack-agent/src/requests/capacity.rs
+++ b/crates/teaseltrack-agent/src/requests/capacity.rs
@@ -349,7 +349,7 @@
     }
 
     async fn publish_target(&self, target: Option<Announcement>) {
-        self.node.tell(NodeMessage::Announce(target)).await;
+        self.node.send(NodeMessage::Announce(target)).await;
         let (node, clients) = (self.node.clone(), self.clients.clone());
         tokio::spawn(async move { push_announcement(&node, &clients).await });
     }
