--- a/crates/teaseltrack-lab/src/experiments/slopes.rs
+++ b/crates/teaseltrack-lab/src/experiments/slopes.rs
@@ -1,8 +1,8 @@
-//! What control costs a node, against the size of the fleet.
+//! Cost of the control plane per node, by fleet size.
 //!
-//! Entries and agents are real processes; workers and the platform are in this one. Each size is left
-//! alone for a while, then one target announces itself and one record changes, and all processes are
-//! asked until they know.
+//! Entries and agents are real processes; workers and the platform run in this process. At each
+//! size, the idle cost is measured first. Then records are submitted and targets are started, one
+//! at a time, and all processes are polled until each change has reached them.
 
 use std::{
     net::SocketAddr,
@@ -25,26 +25,26 @@
     worker::Worker,
 };
 
-/// Numbers of agents.
+/// Fleet sizes, in agents.
 const SIZES: [usize; 3] = [11, 44, 176];
-/// Entries at each size.
+/// Number of entries at each size.
 const ENTRIES: usize = 2;
-/// Time for which a fleet is left alone while its cost is measured.
-const QUIET: Duration = Duration::from_secs(12);
-/// Time for a fleet to find itself and settle.
-const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time for changes to spread.
-const SPREAD_TIMEOUT: Duration = Duration::from_secs(20);
-/// Changes whose spread is measured.
+/// Duration of the idle measurement.
+const IDLE_DURATION: Duration = Duration::from_secs(12);
+/// Timeout for every process to discover all members.
+const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(60);
+/// Timeout for a change to reach all processes.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(20);
+/// Number of changes whose propagation is measured.
 const CHANGES: usize = 5;
-/// Records submitted to measure what one costs in memory.
+/// Number of records submitted to measure the memory per record.
 const RECORDS: usize = 400;
 
 /// Runs the experiment.
 ///
 /// # Errors
 ///
-/// A fleet can't be started.
+/// A fleet can't be started, or a change doesn't reach all processes in time.
 pub async fn run(seed: u64, report: &mut Report) -> Result<(), LabError> {
     for size in SIZES {
         run_size(size, seed, report).await?;
@@ -70,11 +70,11 @@
         workers.push(Worker::start(fleet.plan.worker_options(index), ledger.sender()).await?);
     }
     let members = (size + ENTRIES) as u64;
-    wait_for(&fleet, "members", members, SETTLE_TIMEOUT).await?;
+    wait_for_status(&fleet, "members", members, MEMBERSHIP_TIMEOUT).await?;
     report.set(&format!("membership_complete_s_at_{size}"), started_at.elapsed().as_secs_f64());
     sleep(Duration::from_secs(5)).await;
-    measure_quiet(&fleet, size, report).await;
-    measure_config(&fleet, size, seed, report).await?;
+    measure_idle(&fleet, size, report).await;
+    measure_configuration(&fleet, size, seed, report).await?;
     measure_membership(&fleet, size, report).await?;
     if size == SIZES[0] {
         measure_records(&fleet, report).await?;
@@ -83,16 +83,16 @@
     Ok(())
 }
 
-/// Processor time, memory, bytes and calls while nothing happens.
-async fn measure_quiet(fleet: &ProcessFleet, size: usize, report: &mut Report) {
+/// Measures CPU time, memory, control traffic and store calls of an idle fleet.
+async fn measure_idle(fleet: &ProcessFleet, size: usize, report: &mut Report) {
     let before = statuses(&fleet.plan).await;
     let cpu_before = (cpu_s(&fleet.entries), cpu_s(&fleet.agents));
-    let served_before = fleet.platform.call_counts();
-    sleep(QUIET).await;
+    let calls_before = fleet.platform.call_counts();
+    sleep(IDLE_DURATION).await;
     let after = statuses(&fleet.plan).await;
     let cpu_after = (cpu_s(&fleet.entries), cpu_s(&fleet.agents));
-    let served_after = fleet.platform.call_counts();
-    let quiet_s = QUIET.as_secs_f64();
+    let calls_after = fleet.platform.call_counts();
+    let idle_s = IDLE_DURATION.as_secs_f64();
     let bytes = |statuses: &[Value]| -> f64 {
         statuses
             .iter()
@@ -103,77 +103,77 @@
             .sum()
     };
     let agents = size as f64;
-    let bytes_per_s = (bytes(&after) - bytes(&before)) / quiet_s / agents;
+    let bytes_per_s = (bytes(&after) - bytes(&before)) / idle_s / agents;
     report.set(&format!("control_bytes_per_s_at_{size}"), bytes_per_s);
-    let percent = |seconds: f64, count: f64| 100.0 * seconds / quiet_s / count;
+    let percent = |seconds: f64, count: f64| 100.0 * seconds / idle_s / count;
     let agent_percent = percent(cpu_after.1 - cpu_before.1, agents);
     report.set(&format!("control_cpu_percent_at_{size}"), agent_percent);
     let entry_percent = percent(cpu_after.0 - cpu_before.0, ENTRIES as f64);
     report.set(&format!("entry_cpu_percent_at_{size}"), entry_percent);
     report.set(&format!("agent_idle_rss_mb_at_{size}"), memory_mb(&fleet.agents));
     report.set(&format!("entry_idle_rss_mb_at_{size}"), memory_mb(&fleet.entries));
-    let per_s = |after: u64, before: u64| (after - before) as f64 / quiet_s;
-    let writes = per_s(served_after.writes, served_before.writes);
+    let per_s = |after: u64, before: u64| (after - before) as f64 / idle_s;
+    let writes = per_s(calls_after.writes, calls_before.writes);
     report.set(&format!("table_writes_per_s_at_{size}"), writes);
-    let reads = per_s(served_after.reads, served_before.reads);
+    let reads = per_s(calls_after.reads, calls_before.reads);
     report.set(&format!("table_reads_per_s_at_{size}"), reads);
-    for (prefix, count) in &served_after.by_prefix {
-        let before = served_before.by_prefix.get(prefix).copied().unwrap_or(0);
+    for (prefix, count) in &calls_after.by_prefix {
+        let before = calls_before.by_prefix.get(prefix).copied().unwrap_or(0);
         report.set(&format!("table_{prefix}_calls_per_s_at_{size}"), per_s(*count, before));
     }
 }
 
-/// Time from the acceptance of a record until it is in force everywhere.
-async fn measure_config(
+/// Measures the time from the acceptance of a record until every process has applied it.
+async fn measure_configuration(
     fleet: &ProcessFleet,
     size: usize,
     seed: u64,
     report: &mut Report,
 ) -> Result<(), LabError> {
     let operator = Operator::new(fleet.plan.operator_address(0), "lab");
-    let mut spreads_s = Vec::new();
+    let mut propagation_s = Vec::new();
     for change in 0..CHANGES {
         let name = format!("service-{seed}-{change}");
         let record = operator.submit_service(&name, 1_000).await?;
         let accepted_at = Instant::now();
-        wait_for(fleet, "revision", record.revision, SPREAD_TIMEOUT).await?;
-        spreads_s.push(accepted_at.elapsed().as_secs_f64());
+        wait_for_status(fleet, "revision", record.revision, PROPAGATION_TIMEOUT).await?;
+        propagation_s.push(accepted_at.elapsed().as_secs_f64());
     }
-    report.set(&format!("config_spread_max_s_at_{size}"), largest(&spreads_s));
+    report.set(&format!("config_spread_max_s_at_{size}"), max(&propagation_s));
     Ok(())
 }
 
-/// Time from a target's start until all processes know of it.
+/// Measures the time from the start of a target until every process has discovered it.
 async fn measure_membership(
     fleet: &ProcessFleet,
     size: usize,
     report: &mut Report,
 ) -> Result<(), LabError> {
     let ledger = Ledger::default();
-    let (mut spreads_s, mut entries_s) = (Vec::new(), Vec::new());
+    let (mut propagation_s, mut entry_discovery_s) = (Vec::new(), Vec::new());
     for change in 0..CHANGES {
         let started_at = Instant::now();
         Target::start(fleet.plan.target_options(change), ledger.sender()).await?;
         let targets = change as f64 + 1.0;
-        let are_told = wait_until(SPREAD_TIMEOUT, || async {
+        let is_discovered = wait_until(PROPAGATION_TIMEOUT, || async {
             let first = fleet.entry_status(0).await.unwrap_or_default();
             let last = fleet.entry_status(ENTRIES - 1).await.unwrap_or_default();
             number(&first, "targets") >= targets && number(&last, "targets") >= targets
         })
         .await;
-        if !are_told {
-            return Err("entries don't know of a target".into());
+        if !is_discovered {
+            return Err("not every entry discovered the started target".into());
         }
-        entries_s.push(started_at.elapsed().as_secs_f64());
-        wait_for(fleet, "targets", change as u64 + 1, SPREAD_TIMEOUT).await?;
-        spreads_s.push(started_at.elapsed().as_secs_f64());
+        entry_discovery_s.push(started_at.elapsed().as_secs_f64());
+        wait_for_status(fleet, "targets", change as u64 + 1, PROPAGATION_TIMEOUT).await?;
+        propagation_s.push(started_at.elapsed().as_secs_f64());
     }
-    report.set(&format!("entries_know_target_max_s_at_{size}"), largest(&entries_s));
-    report.set(&format!("membership_spread_max_s_at_{size}"), largest(&spreads_s));
+    report.set(&format!("entries_know_target_max_s_at_{size}"), max(&entry_discovery_s));
+    report.set(&format!("membership_spread_max_s_at_{size}"), max(&propagation_s));
     Ok(())
 }
 
-/// Memory that a record in force takes at an agent.
+/// Measures the memory per applied record at an agent.
 async fn measure_records(fleet: &ProcessFleet, report: &mut Report) -> Result<(), LabError> {
     let before_mb = memory_mb(&fleet.agents);
     let operator = Operator::new(fleet.plan.operator_address(1), "lab");
@@ -184,31 +184,32 @@
         revision = operator.submit_service(&name, 1_000).await?.revision;
     }
     report.set("record_submits_per_s", RECORDS as f64 / started_at.elapsed().as_secs_f64());
-    wait_for(fleet, "revision", revision, SPREAD_TIMEOUT).await?;
-    let grown_kb = (memory_mb(&fleet.agents) - before_mb) * 1_024.0;
-    report.set("agent_kb_per_record", grown_kb / RECORDS as f64);
+    wait_for_status(fleet, "revision", revision, PROPAGATION_TIMEOUT).await?;
+    let growth_kb = (memory_mb(&fleet.agents) - before_mb) * 1_024.0;
+    report.set("agent_kb_per_record", growth_kb / RECORDS as f64);
     Ok(())
 }
 
-async fn wait_for(
+/// Waits until a number in the status of every process has reached a value.
+async fn wait_for_status(
     fleet: &ProcessFleet,
     field: &str,
     value: u64,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<(), LabError> {
-    let is_there = wait_until(limit, || async {
+    let is_reached = wait_until(timeout, || async {
         statuses(&fleet.plan).await.iter().all(|status| number(status, field) >= value as f64)
     })
     .await;
-    if is_there {
+    if is_reached {
         return Ok(());
     }
-    let known: Vec<f64> =
+    let values: Vec<f64> =
         statuses(&fleet.plan).await.iter().map(|status| number(status, field)).collect();
-    Err(format!("{field} isn't {value} everywhere: {known:?}").into())
+    Err(format!("{field} didn't reach {value} on every process: {values:?}").into())
 }
 
-/// Status of all processes, entries first; null for one that doesn't answer.
+/// Queries the status of all processes, entries first; null for a process that doesn't respond.
 async fn statuses(plan: &FleetPlan) -> Vec<Value> {
     let entries = (0..plan.entries).map(|index| plan.entry_health_address(index));
     let agents = (0..plan.agents).map(|index| plan.agent_health_address(index));
@@ -225,7 +226,7 @@
     status[field].as_f64().unwrap_or(0.0)
 }
 
-fn largest(values: &[f64]) -> f64 {
+fn max(values: &[f64]) -> f64 {
     values.iter().copied().fold(0.0, f64::max)
 }
 
--- a/crates/teaseltrack-lab/tests/attempts.rs
+++ b/crates/teaseltrack-lab/tests/attempts.rs
@@ -1,4 +1,8 @@
-//! An agent's attempts when its process has just started and doesn't know yet what its worker runs.
+//! Start orders to an agent that has restarted and not yet synced with its worker.
+//!
+//! A previous agent process has started the attempt on the worker. An owner that got no response
+//! resends the order. If the new process accepted it before its first sync, it would do so without
+//! knowledge of the running attempt.
 
 use std::{
     net::SocketAddr,
@@ -43,7 +47,7 @@
 const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 const INCARNATION: u64 = 5;
-const LIMIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Agent {
     attempts: mpsc::Sender<AttemptMessage>,
@@ -67,7 +71,7 @@
     AttemptKey { task: TaskId { job: "settlement".to_owned(), index: 0 }, attempt: 1 }
 }
 
-/// A worker on which an earlier agent process has started the attempt.
+/// Starts a worker on which a previous agent process has started the attempt.
 async fn start_worker(clock: &SharedClock) -> Worker {
     let options = WorkerOptions {
         address: LOOPBACK,
@@ -77,12 +81,12 @@
         ledger: None,
     };
     let worker = Worker::start(options, Ledger::default().sender()).await.unwrap();
-    let mut earlier = WorkerClient::new(worker.address(), 1, clock.clone());
-    earlier.sync(None, None, 1.0, Vec::new()).await.unwrap();
+    let mut previous_agent = WorkerClient::new(worker.address(), 1, clock.clone());
+    previous_agent.sync(None, None, 1.0, Vec::new()).await.unwrap();
     let deadline = Some(Instant::now() + Duration::from_secs(60));
-    earlier.sync(Some(INCARNATION), deadline, 1.0, Vec::new()).await.unwrap();
-    let call = StartRequest {
-        holder: earlier.holder(),
+    previous_agent.sync(Some(INCARNATION), deadline, 1.0, Vec::new()).await.unwrap();
+    let request = StartRequest {
+        holder: previous_agent.holder(),
         incarnation: INCARNATION,
         key: key(),
         resources: Resources::declared(&spec()),
@@ -90,11 +94,11 @@
         checkpoint: None,
         not_after_ms: None,
     };
-    earlier.start(call).await.unwrap();
+    previous_agent.start(request).await.unwrap();
     worker
 }
 
-/// A new agent process on the same instance, without its lease.
+/// Starts the tasks part of a new agent process on the same instance, without a lease.
 async fn start_agent(worker: &Worker, clock: &SharedClock) -> Agent {
     let platform = Platform::start(&PlatformOptions {
         address: LOOPBACK,
@@ -114,14 +118,14 @@
         state: MemberState::Alive,
         target: None,
     };
-    let (ahead, _) = mpsc::channel(1);
+    let (newer_peers, _) = mpsc::channel(1);
     let capacity = spawn_capacity(
-        CapacityLimits { max_slots: 8, queue_per_class: 8, announcement_ttl: LIMIT },
+        CapacityLimits { max_slots: 8, queue_per_class: 8, announcement_ttl: TIMEOUT },
         CapacityContext {
             logger: logs::silent(),
             clock: clock.clone(),
             metrics: Metrics::scrape_only(),
-            node: spawn_node(member, clock.clone(), logs::silent(), ahead),
+            node: spawn_node(member, clock.clone(), logs::silent(), newer_peers),
             clients: ControlClients::new(Arc::new(ByteCount::default())),
         },
     );
@@ -146,28 +150,28 @@
 }
 
 impl Agent {
-    /// Sends the start again, as an owner does that got no answer; whether the agent took it.
-    async fn start_again(&self) -> bool {
+    /// Resends the start order, like an owner without a response; returns whether it was accepted.
+    async fn resend_start(&self) -> bool {
         let owner = ShardOwner { shard: 0, epoch: 1, control_address: String::new() };
         let AttemptKey { task, attempt } = key();
         let order =
             StartOrder { task, attempt, incarnation: INCARNATION, spec: spec(), checkpoint: None };
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.attempts.send(AttemptMessage::Start(owner, vec![order], reply)).await.unwrap();
-        answer.await.unwrap().is_ok()
+        response.await.unwrap().is_ok()
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn start_again_before_worker_was_seen() {
+async fn start_rejected_before_first_worker_sync() {
     let clock: SharedClock = Arc::new(SystemClock);
     let worker = start_worker(&clock).await;
     let mut agent = start_agent(&worker, &clock).await;
-    assert!(!agent.start_again().await, "taken without knowing what the worker runs");
+    assert!(!agent.resend_start().await, "start accepted before the first sync with the worker");
 
     let deadline = Instant::now() + Duration::from_secs(60);
     agent.lease.send_replace(Some(LeaseView { incarnation: INCARNATION, deadline }));
-    let report = timeout(LIMIT, agent.reports.recv()).await.unwrap().unwrap();
+    let report = timeout(TIMEOUT, agent.reports.recv()).await.unwrap().unwrap();
     assert_eq!(report.report.event, AttemptEvent::Started);
-    assert!(agent.start_again().await);
+    assert!(agent.resend_start().await);
 }
