--- a/crates/teaseltrack-entry/src/callers/dispatcher.rs
+++ b/crates/teaseltrack-entry/src/callers/dispatcher.rs
@@ -1,4 +1,5 @@
-//! Task that owns the entry's routing state: targets and their load, quotas and retry budgets.
+//! Dispatcher task, which owns the entry's routing state: targets and their load, quotas and retry
+//! budgets.
 
 use std::{
     collections::BTreeMap,
@@ -20,7 +21,7 @@
 use teaseltrack_node::node::NodeHandle;
 use tokio::sync::{mpsc, oneshot};
 
-/// Maximum number of queued messages to the task.
+/// Maximum number of queued messages to the dispatcher task.
 const CHANNEL_CAPACITY: usize = 8_192;
 
 /// Target chosen for an attempt.
@@ -60,7 +61,7 @@
     pub reply: oneshot::Sender<Option<(ChosenTarget, AttemptGuard)>>,
 }
 
-/// Message to the task.
+/// Message to the dispatcher task.
 #[derive(Debug)]
 pub enum DispatchMessage {
     /// Admits a request of a team, or replies with the time until its quota has recovered.
@@ -76,14 +77,14 @@
     Hedge(Class, oneshot::Sender<bool>),
 }
 
-/// Handle to the task; cheap to clone.
+/// Handle to the dispatcher task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct DispatchHandle {
     sender: mpsc::Sender<DispatchMessage>,
 }
 
 impl DispatchHandle {
-    /// Sends a message and waits for the reply; `None` if the task has ended.
+    /// Sends a message and waits for the reply; `None` if the dispatcher task has ended.
     pub async fn request<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> DispatchMessage,
--- a/crates/teaseltrack-entry/src/callers/parse.rs
+++ b/crates/teaseltrack-entry/src/callers/parse.rs
@@ -18,7 +18,7 @@
 /// Team of requests without a team header.
 const DEFAULT_TEAM: &str = "default";
 
-/// Head of a caller's request.
+/// Parsed head of a caller's request; the body is read separately.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerRequest {
     /// Request identifier; generated if the caller sent none.
@@ -51,11 +51,11 @@
     let request_id = request_id(map)?;
     let (service, path_and_query) = split_path(parts)
         .ok_or_else(|| invalid("path: must be /{service}/{path}").with_request_id(&request_id))?;
-    let fields = || -> Result<_, Problem> {
+    let parse_headers = || -> Result<_, Problem> {
         Ok((timeout(map)?, urgency(map)?, header_text(map, headers::TEAM)?))
     };
     let (timeout, urgency, team) =
-        fields().map_err(|problem| problem.with_request_id(&request_id))?;
+        parse_headers().map_err(|problem| problem.with_request_id(&request_id))?;
     Ok(CallerRequest {
         service,
         method: parts.method.clone(),
@@ -124,7 +124,8 @@
     }
 }
 
-/// All headers except connection-specific ones and those set by the agent.
+/// Headers to forward to the target: all except those in [`is_excluded`] and those that the caller
+/// lists in the `Connection` header.
 fn forwarded_headers(map: &HeaderMap) -> Vec<Header> {
     let connection_options: Vec<String> = map
         .get_all(header::CONNECTION)
@@ -144,8 +145,10 @@
         .collect()
 }
 
+/// Whether a header concerns only the connection, message framing or body transfer from the caller,
+/// or is replaced by the agent.
 fn is_excluded(name: &HeaderName) -> bool {
-    let connection_specific = [
+    let connection_or_transfer = [
         header::CONNECTION,
         header::CONTENT_LENGTH,
         header::EXPECT,
@@ -154,7 +157,8 @@
         header::TRANSFER_ENCODING,
         header::UPGRADE,
     ];
-    let set_by_agent =
+    // `keep-alive` is also connection-specific; the agent sets its own values of the other headers.
+    let keep_alive_or_set_by_agent =
         ["keep-alive", headers::REQUEST_ID, headers::TIMEOUT_MS, headers::TRACEPARENT];
-    connection_specific.contains(name) || set_by_agent.contains(&name.as_str())
+    connection_or_transfer.contains(name) || keep_alive_or_set_by_agent.contains(&name.as_str())
 }
--- a/crates/teaseltrack-entry/src/callers/server.rs
+++ b/crates/teaseltrack-entry/src/callers/server.rs
@@ -1,4 +1,4 @@
-//! HTTP service for callers: handles a request from its head to the last byte of the response.
+//! HTTP server for callers: handles a request from its head to the last byte of the response.
 
 use std::time::{Duration, Instant};
 
@@ -44,16 +44,18 @@
 
 /// Maximum number of response chunks buffered for the caller.
 const RESPONSE_CHANNEL_CAPACITY: usize = 16;
-/// Divisor of the remaining time that gives the part reserved for the agent's response to arrive.
+/// Divisor of the remaining time: the deadline sent to the agent is earlier than the caller's by
+/// 1/20 of that time, so that the agent's response arrives before the caller's deadline.
 const RESPONSE_MARGIN_DIVISOR: u32 = 20;
-/// Maximum time that is reserved for the agent's response to arrive.
+/// Maximum time by which the deadline sent to the agent is earlier than the caller's.
 const MAX_RESPONSE_MARGIN: Duration = Duration::from_millis(20);
-/// Timeout of one attempt of an idempotent request, in multiples of the expected latency.
-const ATTEMPT_TIMEOUT_LATENCIES: u32 = 20;
-/// Minimum timeout of one attempt of an idempotent request.
+/// Timeout of one attempt of an idempotent request until the response head is received, in
+/// multiples of the target's expected latency.
+const ATTEMPT_TIMEOUT_FACTOR: u32 = 20;
+/// Minimum timeout of one attempt of an idempotent request until the response head is received.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Delay before a hedge is sent, in multiples of the expected latency.
-const HEDGE_DELAY_LATENCIES: u32 = 3;
+/// Delay before a hedge is sent, in multiples of the target's expected latency.
+const HEDGE_DELAY_FACTOR: u32 = 3;
 /// Minimum delay before a hedge is sent.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(10);
 
@@ -62,10 +64,10 @@
 pub struct CallerServer {
     /// Node, which provides the active configuration.
     pub node: NodeHandle,
-    /// Handle to the task that owns the routing state.
+    /// Handle to the dispatcher task, which owns the routing state.
     pub dispatcher: DispatchHandle,
     /// Dependencies of attempts.
-    pub attempts: AttemptContext,
+    pub attempt_context: AttemptContext,
     /// Source of spans.
     pub spans: Spans,
     /// Recorder of metrics.
@@ -84,7 +86,7 @@
     body: Bytes,
     class: Class,
     is_idempotent: bool,
-    is_hedged: bool,
+    may_be_hedged: bool,
     deadline: Instant,
     traceparent: Option<String>,
 }
@@ -100,7 +102,7 @@
                 span.set("service", request.service.clone());
                 let request_id = request.request_id.clone();
                 let result = self.forward(request, body, &span).await;
-                result.unwrap_or_else(|problem| self.refuse(problem, &request_id, &span))
+                result.unwrap_or_else(|problem| self.error_response(problem, &request_id, &span))
             }
             Err(problem) => {
                 self.metrics.count_tagged("answers", "reason", problem.reason.name());
@@ -114,7 +116,13 @@
         response
     }
 
-    fn refuse(&self, problem: Problem, request_id: &str, span: &HopSpan) -> Response<ResponseBody> {
+    /// Records an error in metrics and span, and converts it to a response.
+    fn error_response(
+        &self,
+        problem: Problem,
+        request_id: &str,
+        span: &HopSpan,
+    ) -> Response<ResponseBody> {
         self.metrics.count_tagged("answers", "reason", problem.reason.name());
         span.set("reason", problem.reason.name());
         problem.with_request_id(request_id).into_response()
@@ -126,7 +134,7 @@
         body: Incoming,
         span: &HopSpan,
     ) -> Result<Response<ResponseBody>, Problem> {
-        let received_at = self.attempts.clock.now();
+        let received_at = self.attempt_context.clock.now();
         let configuration = self.node.configuration();
         let Some(service) = configuration.service(&request.service) else {
             let detail = format!("service: {} doesn't exist", request.service);
@@ -145,7 +153,7 @@
             body: body?,
             class,
             is_idempotent,
-            is_hedged: service.is_hedged && is_idempotent && class == Class::Urgent,
+            may_be_hedged: service.is_hedged && is_idempotent && class == Class::Urgent,
             deadline,
             traceparent: span.traceparent().map(str::to_owned),
             request,
@@ -155,6 +163,7 @@
         Ok(self.stream_response(prepared, started))
     }
 
+    /// Admits a request within its team's quota.
     async fn admit(&self, request: &CallerRequest, class: Class) -> Result<(), Problem> {
         let team = request.team.clone();
         let admitted =
@@ -169,18 +178,20 @@
         }
     }
 
-    /// Makes attempts until a response starts, no retry is allowed, or the deadline passes.
+    /// Makes attempts until a response head is received or no retry is allowed, for example because
+    /// the deadline is too close.
     async fn send(&self, prepared: &PreparedRequest) -> Result<StartedResponse, Problem> {
         let mut tried: Vec<TargetKey> = Vec::new();
-        let mut is_run_possible = false;
+        let mut may_have_run = false;
         loop {
             let failure = match self.attempt_or_hedge(prepared, &mut tried).await {
                 Ok(started) => return Ok(started),
                 Err(failure) => failure,
             };
-            is_run_possible |= failure.kind.outcome() == Outcome::Unknown;
+            may_have_run |= failure.kind.outcome() == Outcome::Unknown;
             let failed = FailedAttempt {
                 kind: failure.kind,
+                // `tried` is empty if no target could be chosen, which counts as one attempt.
                 attempts: tried.len().max(1) as u32,
                 is_idempotent: prepared.is_idempotent,
                 is_response_started: false,
@@ -190,15 +201,16 @@
             let backoff =
                 self.dispatcher.request(|reply| DispatchMessage::Retry(class, failed, reply)).await;
             let Some(Some(backoff)) = backoff else {
-                return Err(problem_from(failure, is_run_possible));
+                return Err(problem_from(failure, may_have_run));
             };
             self.metrics.count_tagged("retries", "reason", failed.kind.name());
             sleep(backoff).await;
         }
     }
 
-    /// Makes one attempt, and a hedge if the request is hedged and the first attempt is slow; returns
-    /// the first response that starts.
+    /// Makes one attempt, and a second one as a hedge if the request may be hedged, no response
+    /// head arrives within the hedge delay and the retry budget permits it; returns the first
+    /// response whose head arrives.
     async fn attempt_or_hedge(
         &self,
         prepared: &PreparedRequest,
@@ -206,9 +218,9 @@
     ) -> Result<StartedResponse, AttemptFailure> {
         let (chosen, guard) = self.choose(prepared, tried).await?;
         let hedge_delay =
-            chosen.expected_latency.saturating_mul(HEDGE_DELAY_LATENCIES).max(MIN_HEDGE_DELAY);
+            chosen.expected_latency.saturating_mul(HEDGE_DELAY_FACTOR).max(MIN_HEDGE_DELAY);
         let first = Box::pin(self.attempt_once(prepared, chosen, guard, tried.len()));
-        if !prepared.is_hedged {
+        if !prepared.may_be_hedged {
             return first.await;
         }
         let first = match select(first, Box::pin(sleep(hedge_delay))).await {
@@ -216,9 +228,9 @@
             Either::Right(((), first)) => first,
         };
         let class = prepared.class;
-        let is_hedge_allowed =
+        let is_hedge_in_budget =
             self.dispatcher.request(|reply| DispatchMessage::Hedge(class, reply)).await;
-        if is_hedge_allowed != Some(true) {
+        if is_hedge_in_budget != Some(true) {
             return first.await;
         }
         let Ok((chosen, guard)) = self.choose(prepared, tried).await else { return first.await };
@@ -238,12 +250,13 @@
     ) -> Result<(ChosenTarget, AttemptGuard), AttemptFailure> {
         let chosen = match self.dispatcher.choose(&prepared.request.service, tried).await {
             Some(chosen) => Some(chosen),
-            // All known targets were tried: choose from all of them again.
+            // No untried target is available: choose again, including the tried ones.
             None => self.dispatcher.choose(&prepared.request.service, &[]).await,
         };
         let (chosen, guard) = chosen.ok_or_else(|| AttemptFailure {
             kind: ErrorKind::NoTarget,
             detail: format!("no target of {} is known", prepared.request.service),
+            // Not an attempt timeout: the same duration serves as the delay before a retry.
             retry_after: Some(MIN_ATTEMPT_TIMEOUT),
         })?;
         tried.push(chosen.key);
@@ -255,37 +268,35 @@
         prepared: &PreparedRequest,
         chosen: ChosenTarget,
         guard: AttemptGuard,
-        attempts: usize,
+        attempt_count: usize,
     ) -> Result<StartedResponse, AttemptFailure> {
         let span = self.spans.start("entry.attempt", prepared.traceparent.as_deref());
         let remaining = self.remaining(prepared);
         let margin = (remaining / RESPONSE_MARGIN_DIVISOR).min(MAX_RESPONSE_MARGIN);
         let head = request_head(&prepared.request, prepared.class, remaining - margin, &span);
-        let attempt_deadline = self.attempt_deadline(prepared, &chosen, attempts);
+        let attempt_deadline = self.attempt_deadline(prepared, &chosen, attempt_count);
         let body = prepared.body.clone();
-        attempt(&self.attempts, chosen, guard, head, body, attempt_deadline).await
+        attempt(&self.attempt_context, chosen, guard, head, body, attempt_deadline).await
     }
 
-    /// Deadline of one attempt: an idempotent request with attempts left doesn't wait for a single
-    /// target until the caller's deadline.
+    /// Deadline for the response head of one attempt: an idempotent request with attempts left
+    /// doesn't wait for a single target until the caller's deadline.
     fn attempt_deadline(
         &self,
         prepared: &PreparedRequest,
         chosen: &ChosenTarget,
-        attempts: usize,
+        attempt_count: usize,
     ) -> Instant {
-        if !prepared.is_idempotent || attempts >= MAX_ATTEMPTS as usize {
+        if !prepared.is_idempotent || attempt_count >= MAX_ATTEMPTS as usize {
             return prepared.deadline;
         }
-        let attempt_timeout = chosen
-            .expected_latency
-            .saturating_mul(ATTEMPT_TIMEOUT_LATENCIES)
-            .max(MIN_ATTEMPT_TIMEOUT);
-        (self.attempts.clock.now() + attempt_timeout).min(prepared.deadline)
+        let attempt_timeout =
+            chosen.expected_latency.saturating_mul(ATTEMPT_TIMEOUT_FACTOR).max(MIN_ATTEMPT_TIMEOUT);
+        (self.attempt_context.clock.now() + attempt_timeout).min(prepared.deadline)
     }
 
     fn remaining(&self, prepared: &PreparedRequest) -> Duration {
-        prepared.deadline.saturating_duration_since(self.attempts.clock.now())
+        prepared.deadline.saturating_duration_since(self.attempt_context.clock.now())
     }
 
     /// Streams a response to the caller; a truncated response ends in a reset, so that it can't be
@@ -300,7 +311,7 @@
         if let Ok(request_id) = HeaderValue::from_str(&prepared.request.request_id) {
             response.headers_mut().insert(headers::REQUEST_ID, request_id);
         }
-        let clock = self.attempts.clock.clone();
+        let clock = self.attempt_context.clock.clone();
         let metrics = self.metrics.clone();
         self.open_responses.spawn(async move {
             let StartedResponse { frames, guard, started_at, .. } = started;
@@ -308,15 +319,15 @@
             let elapsed = clock.now().duration_since(started_at);
             metrics.time("answer_time", elapsed);
             match end {
-                RelayEnd::Complete(load) => {
+                RelayResult::Complete(load) => {
                     guard.end(AttemptEnd::Completed(elapsed, load));
                     sender.send(ResponsePart::End).await.ok();
                 }
-                RelayEnd::Truncated(reason) => {
+                RelayResult::Truncated(reason) => {
                     metrics.count_tagged("answers_truncated", "reason", reason);
                     guard.end(AttemptEnd::Failed(elapsed));
                 }
-                RelayEnd::CallerDisconnected => guard.end(AttemptEnd::Abandoned),
+                RelayResult::CallerDisconnected => guard.end(AttemptEnd::Abandoned),
             }
         });
         response.map(|()| StreamBody::new(response_frames(receiver)).boxed_unsync())
@@ -344,25 +355,27 @@
     })
 }
 
-enum RelayEnd {
+/// Result of relaying a response.
+enum RelayResult {
     Complete(Option<teaseltrack::routing::LoadReport>),
     Truncated(&'static str),
     CallerDisconnected,
 }
 
-/// Relays the chunks of a response, and returns whether it was complete.
+/// Relays the chunks of a response to the caller until it is complete, truncated, or the caller
+/// disconnects.
 async fn relay(
     mut frames: tonic::Streaming<teaseltrack_wire::request_path::AnswerFrame>,
     prepared: &PreparedRequest,
     sender: &mpsc::Sender<ResponsePart>,
-) -> RelayEnd {
+) -> RelayResult {
     let mut body_bytes = 0;
     loop {
         let next = match timeout_at(prepared.deadline.into(), frames.message()).await {
             Ok(Ok(Some(frame))) => frame.frame,
-            Ok(Ok(None)) => return RelayEnd::Truncated("the answer has no end"),
-            Ok(Err(_)) => return RelayEnd::Truncated("the answer stopped short"),
-            Err(_) => return RelayEnd::Truncated("no whole answer by the deadline"),
+            Ok(Ok(None)) => return RelayResult::Truncated("the answer has no end"),
+            Ok(Err(_)) => return RelayResult::Truncated("the answer stopped short"),
+            Err(_) => return RelayResult::Truncated("no whole answer by the deadline"),
         };
         match next {
             Some(answer_frame::Frame::Chunk(chunk)) => {
@@ -370,19 +383,19 @@
                 let sending = sender.send(ResponsePart::Chunk(chunk));
                 match timeout_at(prepared.deadline.into(), sending).await {
                     Ok(Ok(())) => {}
-                    Ok(Err(_)) => return RelayEnd::CallerDisconnected,
-                    Err(_) => return RelayEnd::Truncated("not read by the deadline"),
+                    Ok(Err(_)) => return RelayResult::CallerDisconnected,
+                    Err(_) => return RelayResult::Truncated("not read by the deadline"),
                 }
             }
             Some(answer_frame::Frame::End(end)) => {
                 let is_complete =
                     end.body_bytes == body_bytes && end.request_id == prepared.request.request_id;
                 if !is_complete {
-                    return RelayEnd::Truncated("the answer's end doesn't match it");
+                    return RelayResult::Truncated("the answer's end doesn't match it");
                 }
-                return RelayEnd::Complete(end.load.map(load_report));
+                return RelayResult::Complete(end.load.map(load_report));
             }
-            _ => return RelayEnd::Truncated("unexpected frame"),
+            _ => return RelayResult::Truncated("unexpected frame"),
         }
     }
 }
@@ -424,10 +437,10 @@
     response
 }
 
-/// Refusal sent to the caller; its outcome is unknown if any attempt may have run.
-fn problem_from(failure: AttemptFailure, is_run_possible: bool) -> Problem {
+/// Error returned to the caller; its outcome is unknown if the request may have run in any attempt.
+fn problem_from(failure: AttemptFailure, may_have_run: bool) -> Problem {
     let mut problem = Problem::new(failure.kind, failure.detail);
-    if is_run_possible {
+    if may_have_run {
         problem.outcome = Outcome::Unknown;
     }
     match failure.retry_after {
--- a/crates/teaseltrack-entry/src/entry.rs
+++ b/crates/teaseltrack-entry/src/entry.rs
@@ -189,7 +189,7 @@
     CallerServer {
         node: node_context.node.clone(),
         dispatcher: spawn_dispatcher(node_context.node.clone(), zone, node_context.clock.clone()),
-        attempts: AttemptContext { connections, clock: node_context.clock.clone() },
+        attempt_context: AttemptContext { connections, clock: node_context.clock.clone() },
         spans: spans.clone(),
         metrics: metrics.clone(),
         shutdown: node_context.shutdown.clone(),
