--- a/crates/teaseltrack-cell/src/owner.rs
+++ b/crates/teaseltrack-cell/src/owner.rs
@@ -1,7 +1,8 @@
 //! Owner of a cell: a single async task that holds the cell's state.
 //!
-//! Reports, queries and submissions arrive as messages. [`committer`] commits decisions one batch
-//! at a time; [`loader`] reads the stored state.
+//! Agents' reports and other calls arrive through the mailbox; submissions and cancellations arrive
+//! from the store. [`committer`] commits decisions one batch at a time; [`loader`] loads the stored
+//! state and then follows submissions and cancellations.
 
 use std::{
     collections::HashMap,
@@ -37,17 +38,17 @@
     constants::{MAX_COMMIT_ROWS, OWNER_TICK_INTERVAL, RENEWAL_INTERVAL, STORE_LOST_TIMEOUT},
     owner::{
         committer::{Committer, OwnershipLost},
-        loader::{JobUpdate, LoadedCell, follow_jobs, load},
+        loader::{JobChanges, LoadedCell, follow_jobs, load},
     },
 };
 
 pub mod committer;
 pub mod loader;
 
-/// Capacity of the owner's mailbox, in calls.
+/// Capacity of the owner's mailbox, the channel for inbound calls, in calls.
 const MAILBOX_SIZE: usize = 512;
-/// Capacity of the queue of job updates.
-const UPDATE_QUEUE_SIZE: usize = 16;
+/// Capacity of the channel for job changes from the store, in batches.
+const JOB_CHANGES_CHANNEL_SIZE: usize = 16;
 
 /// Maximum share of the owner's time spent on planning; the rest is for reports and commits.
 const MAX_PLANNING_SHARE: f64 = 0.4;
@@ -57,25 +58,25 @@
 pub struct OwnerContext {
     /// The store.
     pub store: Store,
-    /// The clock.
+    /// Monotonic clock.
     pub clock: SharedClock,
     /// Wall clock.
     pub wall_now: fn() -> SystemTime,
     /// Settings of the cell.
     pub cell: CellSettings,
-    /// Timing of ownership.
+    /// Takeover timeout and grant period of the ownership.
     pub ownership: OwnershipSettings,
     /// Source of the queue configuration.
     pub configuration: ConfigurationSource<QueueConfiguration>,
     /// Publishes the owner's mailbox to the RPC server.
     pub mailbox: watch::Sender<Option<mpsc::Sender<InboundCall>>>,
-    /// Logger for decisions.
+    /// Logger.
     pub logger: Logger,
     /// Metrics.
     pub metrics: Metrics,
 }
 
-/// Report that waits for an update.
+/// Report whose response is delayed until there is a pending update for its agent (long poll).
 #[derive(Debug)]
 struct ParkedReport {
     reply: oneshot::Sender<ReportResponse>,
@@ -85,13 +86,13 @@
     lease_until_ms: Option<u64>,
 }
 
-/// Commit in flight; returns the committer.
+/// Commit in flight; returns the committer with the result.
 type CommitTask = JoinHandle<(Committer, Result<(), OwnershipLost>)>;
 
-/// Receivers of an owner's messages.
-struct Inboxes {
+/// Receiving ends of the owner's channels.
+struct Receivers {
     calls: mpsc::Receiver<InboundCall>,
-    updates: mpsc::Receiver<JobUpdate>,
+    job_changes: mpsc::Receiver<JobChanges>,
     configuration: watch::Receiver<Option<Arc<QueueConfiguration>>>,
 }
 
@@ -99,6 +100,7 @@
     context: OwnerContext,
     cell: Cell,
     parked: HashMap<InstanceId, ParkedReport>,
+    /// Time at which the last successful commit, which also renewed the ownership, was first sent.
     renewed_at: Instant,
     next_plan_at: Instant,
     is_stopping: bool,
@@ -125,11 +127,11 @@
     info!(context.logger, "cell loaded"; "epoch" => epoch, "jobs" => job_count,
         "open_jobs" => cell.open_count());
     let (mailbox, calls) = mpsc::channel(MAILBOX_SIZE);
-    let (update_sender, updates) = mpsc::channel(UPDATE_QUEUE_SIZE);
+    let (job_changes_sender, job_changes) = mpsc::channel(JOB_CHANGES_CHANNEL_SIZE);
     let job_follower = tokio::spawn(follow_jobs(
         context.store.clone(),
         loaded.version,
-        update_sender,
+        job_changes_sender,
         context.wall_now,
         context.logger.clone(),
     ));
@@ -145,7 +147,7 @@
     let next_plan_at = context.clock.now();
     let parked = HashMap::new();
     let mut owner = Owner { context, cell, parked, renewed_at, next_plan_at, is_stopping: false };
-    owner.run(committer, Inboxes { calls, updates, configuration }, closing).await;
+    owner.run(committer, Receivers { calls, job_changes, configuration }, closing).await;
     owner.context.mailbox.send_replace(None);
     job_follower.abort();
     configuration_follower.abort();
@@ -164,7 +166,7 @@
         }
         if committer.commit(&[]).await.is_err() {
             loading.abort();
-            warn!(context.logger, "ownership lost while loading the cell");
+            warn!(context.logger, "ownership lost while loading the cell; returning to candidate");
             return None;
         }
     }
@@ -174,7 +176,7 @@
     async fn run(
         &mut self,
         committer: Committer,
-        mut inboxes: Inboxes,
+        mut receivers: Receivers,
         closing: CancellationToken,
     ) {
         let mut idle_committer = Some(committer);
@@ -183,20 +185,22 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                Some(call) = inboxes.calls.recv() => {
+                Some(call) = receivers.calls.recv() => {
                     self.handle_call(call);
-                    while let Ok(call) = inboxes.calls.try_recv() {
+                    while let Ok(call) = receivers.calls.try_recv() {
                         self.handle_call(call);
                     }
                 }
-                Some(update) = inboxes.updates.recv() => self.handle_update(update),
+                Some(changes) = receivers.job_changes.recv() => self.handle_job_changes(changes),
                 done = commit_result(&mut committing) => {
                     committing = None;
                     let Some((committer, Ok(()))) = done else {
-                        info!(self.context.logger, "ownership lost";
+                        info!(self.context.logger,
+                            "ownership lost or commit task failed; returning to candidate";
                             "epoch" => self.cell.epoch());
                         return;
                     };
+                    // The time at which this commit was first sent.
                     self.renewed_at = committer.renewed_at;
                     let commit_time = self.context.clock.now().duration_since(self.renewed_at);
                     self.context.metrics.time("commit", commit_time);
@@ -204,8 +208,8 @@
                     idle_committer = Some(committer);
                 }
                 _ = ticks.tick() => self.cell.tick(self.context.clock.now()),
-                Ok(()) = inboxes.configuration.changed() => {
-                    let active = inboxes.configuration.borrow_and_update().as_deref().cloned();
+                Ok(()) = receivers.configuration.changed() => {
+                    let active = receivers.configuration.borrow_and_update().as_deref().cloned();
                     if let Some(active) = active {
                         self.cell.apply_configuration(active);
                     }
@@ -213,6 +217,8 @@
                 () = closing.cancelled(), if !self.is_stopping => self.is_stopping = true,
             }
             self.plan();
+            // The committer is either idle here or owned by the commit in flight. An idle one
+            // starts the next commit, and stays idle if there is nothing to commit.
             committing = match (committing, idle_committer.take()) {
                 (None, Some(committer)) => match self.start_commit(committer) {
                     Ok(task) => Some(task),
@@ -227,7 +233,9 @@
                 }
             };
             self.respond_to_parked();
-            self.log_events();
+            self.record_events();
+            // While stopping, decisions are committed until none is left; then the cell is
+            // released.
             if self.is_stopping && committing.is_none() {
                 if let Some(mut committer) = idle_committer
                     && committer.release().await.is_ok()
@@ -259,11 +267,11 @@
         let (agent, session) = (report.agent.clone(), report.session);
         let (accepted_order, forgot_until) = (report.accepted_order, report.forgot_until);
         let mut response = self.cell.handle_report(report, may_grant, now);
-        response.is_store_lost = self.is_store_lost(now);
-        let has_update = !response.orders.is_empty()
+        response.is_store_lost = self.is_takeover_advised(now);
+        let has_pending_update = !response.orders.is_empty()
             || response.forget_until > forgot_until
             || response.session != session;
-        if wait.is_zero() || has_update || response.is_store_lost {
+        if wait.is_zero() || has_pending_update || response.is_store_lost {
             drop(reply.send(response));
             return;
         }
@@ -279,18 +287,20 @@
         }
     }
 
-    fn is_store_lost(&self, now: Instant) -> bool {
+    /// Whether agents should check for another owner: commits have failed for too long, or this
+    /// owner is stopping. Sent as `is_store_lost` in both cases.
+    fn is_takeover_advised(&self, now: Instant) -> bool {
         self.is_stopping || now.duration_since(self.renewed_at) > STORE_LOST_TIMEOUT
     }
 
-    fn handle_update(&mut self, update: JobUpdate) {
+    fn handle_job_changes(&mut self, changes: JobChanges) {
         let now = self.context.clock.now();
-        for job in update.jobs {
+        for job in changes.jobs {
             debug!(self.context.logger, "job received from the store"; "request_id" => &job.id,
                 "queue" => &job.spec.queue, "stages" => job.spec.stages.len());
             self.cell.admit(job, now);
         }
-        for job in update.cancelled {
+        for job in changes.cancelled {
             let is_known = self.cell.cancel(&job);
             debug!(self.context.logger, "cancellation received from the store";
                 "request_id" => &job, "is_known" => is_known);
@@ -309,7 +319,8 @@
         self.next_plan_at = started_at + plan_time.mul_f64(1.0 / MAX_PLANNING_SHARE);
     }
 
-    /// Starts the next commit, or returns the committer if there is nothing to commit.
+    /// Starts the next commit, which has no rows if only a renewal of the ownership is due; returns
+    /// the committer if there is nothing to commit.
     fn start_commit(&mut self, mut committer: Committer) -> Result<CommitTask, Box<Committer>> {
         let is_renewal_due =
             self.context.clock.now().duration_since(self.renewed_at) >= RENEWAL_INTERVAL;
@@ -324,16 +335,18 @@
         }))
     }
 
+    /// Responds to the parked reports that have waited long enough or whose agent has a pending
+    /// update.
     fn respond_to_parked(&mut self) {
         let now = self.context.clock.now();
-        let is_store_lost = self.is_store_lost(now);
+        let is_takeover_advised = self.is_takeover_advised(now);
         let cell = &self.cell;
         let ready: Vec<InstanceId> = self
             .parked
             .iter()
             .filter(|(agent, parked)| {
                 parked.respond_by <= now
-                    || is_store_lost
+                    || is_takeover_advised
                     || cell.has_pending_update(agent, parked.accepted_order, parked.forgot_until)
             })
             .map(|(agent, _)| agent.clone())
@@ -341,13 +354,15 @@
         for agent in ready {
             let Some(parked) = self.parked.remove(&agent) else { continue };
             let mut response = self.cell.pending_update(&agent);
+            // The lease that was granted when the report arrived; waiting doesn't extend it.
             response.lease_until_ms = parked.lease_until_ms;
-            response.is_store_lost = is_store_lost;
+            response.is_store_lost = is_takeover_advised;
             drop(parked.reply.send(response));
         }
     }
 
-    fn log_events(&mut self) {
+    /// Logs the cell's events and records them in metrics, with the gauges of the cell.
+    fn record_events(&mut self) {
         let OwnerContext { logger, metrics, .. } = &self.context;
         metrics.gauge("jobs_open", self.cell.open_count() as u64);
         metrics.gauge("configuration_version", self.cell.configuration_version());
--- a/crates/teaseltrack-cell/src/owner/loader.rs
+++ b/crates/teaseltrack-cell/src/owner/loader.rs
@@ -23,7 +23,7 @@
 
 /// New submissions and cancellations.
 #[derive(Clone, Debug, Default)]
-pub struct JobUpdate {
+pub struct JobChanges {
     /// Submitted jobs.
     pub jobs: Vec<StoredJob>,
     /// Cancelled jobs.
@@ -81,12 +81,12 @@
 pub async fn follow_jobs(
     store: Store,
     mut after: u64,
-    sender: mpsc::Sender<JobUpdate>,
+    sender: mpsc::Sender<JobChanges>,
     wall_now: fn() -> SystemTime,
     logger: Logger,
 ) {
     loop {
-        let update = match next_rows(&store, after).await {
+        let grouped = match next_rows(&store, after).await {
             Ok((version, rows)) => {
                 after = version;
                 group_rows(&rows, &logger)
@@ -98,13 +98,13 @@
             }
         };
         let now_ms = unix_ms(wall_now());
-        let jobs = update
+        let jobs = grouped
             .submissions
             .into_iter()
             .map(|(id, submission)| stored_job(id, submission, None, false, now_ms))
             .collect();
-        let update = JobUpdate { jobs, cancelled: update.cancelled.into_iter().collect() };
-        if sender.send(update).await.is_err() {
+        let changes = JobChanges { jobs, cancelled: grouped.cancelled.into_iter().collect() };
+        if sender.send(changes).await.is_err() {
             return;
         }
     }
--- a/crates/teaseltrack-cell/src/worker_port.rs
+++ b/crates/teaseltrack-cell/src/worker_port.rs
@@ -1,4 +1,6 @@
 //! Interface to the worker on the agent's instance.
+//!
+//! A run is one attempt of a task on a worker.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,13 +14,13 @@
 /// Failure of a call to the worker.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum WorkerError {
-    /// No usable response in time; the call may or may not take effect.
+    /// No usable response arrived in time; the worker may or may not execute the call.
     #[snafu(display("worker unavailable: {message}"))]
     Unavailable {
         /// Cause.
         message: String,
     },
-    /// The worker rejected the call: it didn't execute it and won't.
+    /// The worker refused the call, which was not and will not be executed.
     #[snafu(display("worker refused the call: {reason}"))]
     Refused {
         /// Reason given by the worker.
@@ -29,18 +31,18 @@
 /// Call to the worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCall {
-    /// Renews the lease, acknowledges ends, and requests a listing of runs and ends.
+    /// Renews the lease, acknowledges ended runs, and requests a listing of current and ended runs.
     Sync {
-        /// End of the lease on the worker's clock.
+        /// End of the lease on the worker's clock; `None` if the owner has granted no lease.
         lease_until_ms: Option<u64>,
-        /// Number up to which the worker may discard ends.
+        /// Number of the last ended run, inclusive, up to which the worker may discard ended runs.
         forget_until: u64,
-        /// Maximum time for which the worker waits for the next end.
+        /// Long-poll timeout: maximum time for which the worker waits for the next run to end.
         wait: Duration,
     },
-    /// Starts a task.
+    /// Starts a run.
     Start {
-        /// The task.
+        /// The owner's order.
         order: StartOrder,
         /// End of the lease on the worker's clock.
         lease_until_ms: u64,
@@ -58,7 +60,7 @@
         task: TaskName,
         /// Its attempt.
         attempt: AttemptNumber,
-        /// Pace as a share of full speed, in percent.
+        /// Pace, in percent of full speed.
         percent: u32,
     },
 }
@@ -77,16 +79,16 @@
 /// Response of the worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerResponse {
-    /// Reading of the worker's clock, in milliseconds.
+    /// Time of the worker's clock, in milliseconds; `None` if not included.
     pub clock_ms: Option<u64>,
-    /// Start of the worker's current incarnation, in milliseconds since the Unix epoch, if
-    /// included.
+    /// Start of the worker's current incarnation, in milliseconds since the Unix epoch; `None` if
+    /// not included.
     pub started_unix_ms: Option<u64>,
-    /// Listing of runs and ends, in a response to a sync call.
+    /// Listing of current and ended runs; only in a response to [`WorkerCall::Sync`].
     pub listing: Option<WorkerListing>,
 }
 
-/// Transport for calls to the worker.
+/// Implementation of the interface: sends a call to the worker and returns its response.
 pub type WorkerAdapter = Arc<
     dyn Fn(AddressedCall) -> BoxFuture<'static, Result<WorkerResponse, WorkerError>> + Send + Sync,
 >;
