--- a/crates/teaseltrack-agent/src/options/config.rs
+++ b/crates/teaseltrack-agent/src/options/config.rs
@@ -18,7 +18,7 @@
     pub instance: InstanceSettings,
     /// Membership and control calls.
     pub control: ControlSettings,
-    /// Request path from entries.
+    /// Server for requests from entries.
     pub requests: RequestSettings,
     /// The target that the agent serves.
     pub target: TargetSettings,
@@ -33,13 +33,13 @@
     pub observation: ObservationSettings,
 }
 
-/// Settings of the request path.
+/// Settings of the server for requests from entries.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestSettings {
     /// Listen address for requests from entries, `IP:port`.
     pub address: SocketAddr,
-    /// Maximum number of queued requests per class.
+    /// Maximum number of queued requests per priority class.
     #[serde(default = "default_queue_per_class")]
     pub queue_per_class: usize,
     /// Maximum size of a request body, in bytes.
@@ -51,7 +51,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSettings {
-    /// Loopback listen address for the target's announcements, `IP:port`.
+    /// Listen address for the target's announcements, `IP:port`; meant to be a loopback address,
+    /// which isn't checked.
     pub announce_address: SocketAddr,
     /// Time after which an announcement that wasn't renewed expires, in milliseconds.
     #[serde(default = "default_announcement_ttl_ms")]
@@ -70,7 +71,8 @@
 pub struct TaskSettings {
     /// Address of the platform's worker on this instance, `IP:port`.
     pub worker_address: SocketAddr,
-    /// Duration of the instance's lease, in milliseconds.
+    /// Duration of the instance's lease, in milliseconds; other agents may reclaim the instance's
+    /// tasks only after the lease has lapsed.
     #[serde(default = "default_lease_ttl_ms")]
     pub lease_ttl_ms: u64,
     /// CPU capacity for tasks, in thousandths of a core.
@@ -107,7 +109,8 @@
 }
 
 impl AgentSettings {
-    /// Validates the values.
+    /// Validates names, periods, limits and ratios, and that the addresses for requests and control
+    /// calls have a specific IP.
     ///
     /// # Errors
     ///
--- a/crates/teaseltrack-lab/src/experiments/chaos.rs
+++ b/crates/teaseltrack-lab/src/experiments/chaos.rs
@@ -1,6 +1,7 @@
 //! Random faults on a fleet of real processes that serves requests and runs tasks.
 //!
-//! The report counts violations of invariants; each such count should be zero.
+//! The report includes the counts of violated invariants, from `lost` to `attempts_repeated`; each
+//! of these should be zero.
 
 use std::time::{Duration, Instant};
 
@@ -27,7 +28,7 @@
 const INJECTION_DURATION: Duration = Duration::from_secs(60);
 /// Timeout for all tasks to complete after the last fault.
 const COMPLETION_TIMEOUT: Duration = Duration::from_secs(90);
-/// Timeout of a graceful shutdown.
+/// Timeout of an agent's graceful shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Injected faults, chosen with equal probability.
@@ -37,35 +38,42 @@
     Fault::KillWorker,
     Fault::KillTarget,
     Fault::KillEntry,
-    Fault::StopAgent,
+    Fault::ShutDownAgent,
     Fault::StoreOutage,
     Fault::LostResponses,
 ];
 
+/// Fault that is injected and then ended; a killed process is restarted after a pause.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     KillAgent,
+    /// Suspends an agent with SIGSTOP and resumes it.
     FreezeAgent,
     KillWorker,
     KillTarget,
     KillEntry,
-    StopAgent,
+    /// Shuts an agent down gracefully with SIGTERM and restarts it.
+    ShutDownAgent,
+    /// Makes the store unavailable.
     StoreOutage,
+    /// Loses the responses to some of the store's writes after they have taken effect.
     LostResponses,
 }
 
 struct Chaos {
     fleet: ProcessFleet,
     rng: ChaCha8Rng,
+    /// Instances whose workers were killed, and when.
     killed_workers: Vec<(String, Instant)>,
-    faults: u64,
+    injected_faults: u64,
 }
 
 /// Runs the experiment.
 ///
 /// # Errors
 ///
-/// The fleet can't be started, a fault can't be injected, or a journal can't be verified.
+/// The fleet can't be started, a fault can't be injected, or the hash chain of a journal stream
+/// can't be verified.
 pub async fn run(seed: u64, report: &mut Report) -> Result<(), LabError> {
     let plan = FleetPlan { agents: AGENTS, has_workers: true, ..FleetPlan::default() };
     let fleet = ProcessFleet::start(plan).await?;
@@ -84,7 +92,7 @@
     let submit_task =
         tokio::spawn(submit_jobs(operator.clone(), Instant::now() + INJECTION_DURATION));
     let rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut chaos = Chaos { fleet, rng, killed_workers: Vec::new(), faults: 0 };
+    let mut chaos = Chaos { fleet, rng, killed_workers: Vec::new(), injected_faults: 0 };
     let started_at = Instant::now();
     while started_at.elapsed() < INJECTION_DURATION {
         chaos.inject().await?;
@@ -92,7 +100,7 @@
     let result = load_task.await?;
     let jobs = submit_task.await?;
     let expected = jobs.len() * JOB_TASKS as usize;
-    let Chaos { fleet, killed_workers, faults, .. } = chaos;
+    let Chaos { fleet, killed_workers, injected_faults, .. } = chaos;
     let is_done = wait_until(COMPLETION_TIMEOUT, || async {
         fleet.ledger.tasks(&killed_workers).done.len() >= expected
     })
@@ -100,7 +108,7 @@
     let tasks = fleet.ledger.tasks(&killed_workers);
     let verdict = result.verdict(&fleet.ledger.requests());
     let verified = verify_streams(&operator.client).await?;
-    report.count("faults", faults);
+    report.count("faults", injected_faults);
     report.count("requests", result.requests.len() as u64);
     report.count("answered", verdict.answered);
     report.count("not_run", verdict.not_run);
@@ -133,13 +141,14 @@
 }
 
 impl Chaos {
-    /// Injects a random fault, and pauses for a random time afterwards.
+    /// Injects a random fault, ends it, and pauses for a random time. A killed process is restarted
+    /// after a pause of the same length.
     async fn inject(&mut self) -> Result<(), LabError> {
         let fault = FAULTS[self.rng.random_range(0..FAULTS.len())];
         let index = self.rng.random_range(0..AGENTS);
         let pause = Duration::from_millis(self.rng.random_range(100..1_500));
         let fault_duration = Duration::from_millis(self.rng.random_range(200..6_000));
-        self.faults += 1;
+        self.injected_faults += 1;
         match fault {
             Fault::KillAgent => {
                 self.fleet.agents[index].kill();
@@ -163,15 +172,17 @@
                 self.fleet.targets[index] = self.fleet.spawn_target(index)?;
             }
             Fault::KillEntry => {
+                // Entry 0 receives the load and the operator's commands, so it keeps running.
                 self.fleet.entries[1].kill();
                 sleep(pause).await;
                 self.fleet.entries[1] = self.fleet.spawn_entry(1)?;
             }
-            Fault::StopAgent => {
+            Fault::ShutDownAgent => {
                 self.fleet.agents[index].stop(SHUTDOWN_TIMEOUT).await;
                 self.fleet.agents[index] = self.fleet.spawn_agent(index)?;
             }
             Fault::StoreOutage => {
+                // The parity of the random pause selects the kind of outage.
                 let outage =
                     if pause.as_millis().is_multiple_of(2) { Outage::Silent } else { Outage::Cut };
                 self.fleet.platform.set_faults(Faults { outage, ..Faults::default() });
--- a/crates/teaseltrack-wire/src/control.rs
+++ b/crates/teaseltrack-wire/src/control.rs
@@ -1,6 +1,7 @@
 //! RPC interface between instances for membership, configuration and tasks.
 //!
-//! Entries and agents serve the same interface; an entry runs no tasks and refuses the task calls.
+//! Entries and agents serve the same interface; an entry runs no tasks: it ignores `wake_shard`
+//! and refuses the other task calls.
 
 use serde::{Deserialize, Serialize};
 use teaseltrack::{
@@ -13,7 +14,7 @@
     task::TaskId,
 };
 
-/// Maximum size of a control message, in bytes.
+/// Maximum size of a message of this interface, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// Gossip message: a probe or the response to it.
@@ -81,13 +82,13 @@
     pub checkpoint: Option<String>,
 }
 
-/// Reason for stopping an attempt.
+/// Cause of a stop order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopCause {
-    /// The attempt is checkpointed, so that the task can resume elsewhere.
+    /// The task is evicted: the attempt is checkpointed, so that the task can resume elsewhere.
     Evict,
-    /// The attempt is no longer needed.
+    /// The attempt is no longer needed and is stopped without a checkpoint.
     Cancel,
 }
 
@@ -98,7 +99,7 @@
     pub task: TaskId,
     /// The attempt.
     pub attempt: AttemptNumber,
-    /// Reason for the stop.
+    /// Cause of the stop.
     pub cause: StopCause,
 }
 
@@ -114,17 +115,18 @@
     Evicted {
         /// Key of the checkpoint in the object store.
         checkpoint: String,
-        /// Cause.
+        /// Reason.
         reason: String,
     },
-    /// The attempt failed.
+    /// The worker reported that the attempt failed; counts as a failure of the task.
     Failed {
-        /// Cause.
+        /// Reason.
         reason: String,
     },
-    /// The attempt didn't start, or ended without a result.
+    /// The attempt didn't start, or was stopped without a checkpoint; doesn't count as a failure of
+    /// the task.
     Released {
-        /// Cause.
+        /// Reason.
         reason: String,
     },
 }
@@ -168,25 +170,29 @@
 /// Calls between instances.
 #[tarpc::service]
 pub trait Control {
-    /// Probes the instance and exchanges recent membership updates; the caller follows up with
-    /// `exchange` if the digests keep differing.
+    /// Probes the instance and exchanges recent membership updates. The caller follows up with
+    /// `exchange` if the digests differ in several consecutive probes, or at once while it is
+    /// joining.
     async fn probe(gossip: Gossip) -> Gossip;
     /// Probes another instance on the caller's behalf; returns whether it responded.
     async fn probe_through(control_address: String) -> bool;
-    /// Synchronizes membership: returns the instance's members in the buckets whose hashes differ
-    /// from the caller's digest, up to a size limit.
+    /// Compares the caller's membership digest, which has one hash per bucket of members, with the
+    /// instance's own, and returns the instance's members of the buckets that differ, up to a size
+    /// limit.
     async fn exchange(digest: Digest) -> Vec<Member>;
     /// Returns configuration changes after a revision.
     async fn changes_after(revision: Revision) -> ChangePage;
-    /// Notifies the owner of new commands in the shard's inbox.
+    /// Notifies the shard's owner that an entry has added commands to the shard's inbox in the
+    /// store.
     async fn wake_shard(shard: ShardNumber);
-    /// Reserves capacity for attempts.
+    /// Reserves capacity for attempts before their assignments are committed.
     async fn reserve_room(
         requests: Vec<ReservationRequest>,
     ) -> Result<ReservationResponse, ErrorKind>;
     /// Starts committed assignments; events are reported with `report_tasks`.
     async fn start_tasks(owner: ShardOwner, orders: Vec<StartOrder>) -> Result<(), ErrorKind>;
-    /// Stops attempts; events are reported with `report_tasks`.
+    /// Stops attempts. A stop with [`StopCause::Evict`] is reported with `report_tasks`; one with
+    /// [`StopCause::Cancel`] isn't, unless the attempt has ended by itself by then.
     async fn stop_tasks(owner: ShardOwner, orders: Vec<StopOrder>) -> Result<(), ErrorKind>;
     /// Reports events to the shard's owner; returns after they are committed.
     async fn report_tasks(batch: ReportBatch) -> Result<(), ErrorKind>;
