--- a/crates/teaseltrack/src/admission.rs
+++ b/crates/teaseltrack/src/admission.rs
@@ -42,7 +42,7 @@
 /// Virtual time charged to a class of weight 1 for each dispatch; a multiple of every weight.
 const DISPATCH_COST: u64 = 12;
 /// Service time assumed before the first latency sample.
-const ASSUMED_SERVICE_TIME: Duration = Duration::from_millis(1);
+const ASSUMED_SERVICE_LATENCY: Duration = Duration::from_millis(1);
 /// Minimum retry delay that a refusal advises.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
@@ -123,7 +123,7 @@
 #[derive(Debug, Default)]
 struct ClassQueue {
     virtual_time: u64,
-    queued: usize,
+    request_count: usize,
     by_team: BTreeMap<TeamName, VecDeque<TicketKey>>,
     team_rotation: VecDeque<TeamName>,
 }
@@ -135,14 +135,14 @@
             self.team_rotation.push_back(team.clone());
         }
         tickets.push_back(ticket);
-        self.queued += 1;
+        self.request_count += 1;
     }
 
     fn pop(&mut self) -> Option<TicketKey> {
         let team = self.team_rotation.pop_front()?;
         let tickets = self.by_team.get_mut(&team)?;
         let ticket = tickets.pop_front()?;
-        self.queued -= 1;
+        self.request_count -= 1;
         if tickets.is_empty() {
             self.by_team.remove(&team);
         } else {
@@ -155,7 +155,7 @@
         let Some(tickets) = self.by_team.get_mut(team) else { return };
         let before = tickets.len();
         tickets.retain(|other| *other != ticket);
-        self.queued -= before - tickets.len();
+        self.request_count -= before - tickets.len();
         if tickets.is_empty() {
             self.by_team.remove(team);
             self.team_rotation.retain(|other| other != team);
@@ -168,7 +168,7 @@
 pub struct Admission {
     limits: AdmissionLimits,
     concurrency: ConcurrencyLimit,
-    waiting: SlotMap<TicketKey, QueuedRequest>,
+    queued_requests: SlotMap<TicketKey, QueuedRequest>,
     by_deadline: BTreeSet<(Instant, TicketKey)>,
     running: SlotMap<PermitKey, Class>,
     queues: BTreeMap<Class, ClassQueue>,
@@ -182,7 +182,7 @@
         Self {
             limits,
             concurrency: ConcurrencyLimit::new(limits.slots),
-            waiting: SlotMap::with_key(),
+            queued_requests: SlotMap::with_key(),
             by_deadline: BTreeSet::new(),
             running: SlotMap::with_key(),
             queues: CLASSES.into_iter().map(|class| (class, ClassQueue::default())).collect(),
@@ -198,7 +198,7 @@
 
     /// Number of queued requests.
     pub fn queued(&self) -> u32 {
-        self.waiting.len() as u32
+        self.queued_requests.len() as u32
     }
 
     /// Current concurrency limit.
@@ -231,10 +231,10 @@
             return self.refuse(ErrorKind::DeadlineExceeded, MIN_RETRY_AFTER);
         }
         let wait = self.expected_wait(meta.class);
-        if self.queues[&meta.class].queued >= self.limits.queue_per_class {
+        if self.queues[&meta.class].request_count >= self.limits.queue_per_class {
             return self.refuse(ErrorKind::QueueFull, wait);
         }
-        if wait + self.service_time() > remaining {
+        if wait + self.service_latency() > remaining {
             return self.refuse(ErrorKind::DeadlineUnmeetable, wait);
         }
         AdmissionDecision::Queued(self.enqueue(meta))
@@ -246,7 +246,7 @@
     pub fn dispatch(&mut self) -> Option<Dispatched> {
         let class = self.next_class()?;
         let ticket = self.queues.get_mut(&class)?.pop()?;
-        let request = self.waiting.remove(ticket)?;
+        let request = self.queued_requests.remove(ticket)?;
         self.by_deadline.remove(&(request.deadline, ticket));
         self.charge(class);
         let permit = self.running.insert(class);
@@ -284,7 +284,7 @@
 
     /// Cancels a queued request; true if it was still queued, so that it won't run.
     pub fn cancel(&mut self, ticket: TicketKey) -> bool {
-        let Some(request) = self.waiting.remove(ticket) else { return false };
+        let Some(request) = self.queued_requests.remove(ticket) else { return false };
         self.by_deadline.remove(&(request.deadline, ticket));
         if let Some(queue) = self.queues.get_mut(&request.class) {
             queue.remove(&request.team, ticket);
@@ -299,10 +299,11 @@
     fn enqueue(&mut self, meta: RequestMeta) -> TicketKey {
         let virtual_now = self.virtual_now;
         let RequestMeta { class, team, deadline } = meta;
-        let ticket = self.waiting.insert(QueuedRequest { class, team: team.clone(), deadline });
+        let ticket =
+            self.queued_requests.insert(QueuedRequest { class, team: team.clone(), deadline });
         self.by_deadline.insert((deadline, ticket));
         let queue = self.queues.entry(class).or_default();
-        if queue.queued == 0 {
+        if queue.request_count == 0 {
             queue.virtual_time = queue.virtual_time.max(virtual_now);
         }
         queue.push(&team, ticket);
@@ -313,7 +314,7 @@
         if self.in_flight() >= self.limit() {
             return None;
         }
-        let backlogged = self.queues.iter().filter(|(_, queue)| queue.queued > 0);
+        let backlogged = self.queues.iter().filter(|(_, queue)| queue.request_count > 0);
         backlogged
             .min_by_key(|(class, queue)| (queue.virtual_time, **class))
             .map(|(class, _)| *class)
@@ -325,21 +326,21 @@
         queue.virtual_time += DISPATCH_COST / class.weight();
     }
 
-    fn service_time(&self) -> Duration {
-        self.concurrency.latency().unwrap_or(ASSUMED_SERVICE_TIME)
+    fn service_latency(&self) -> Duration {
+        self.concurrency.latency().unwrap_or(ASSUMED_SERVICE_LATENCY)
     }
 
     /// Expected queueing delay of a new request, from its position and the class's share of slots.
     fn expected_wait(&self, class: Class) -> Duration {
-        if self.in_flight() < self.limit() && self.waiting.is_empty() {
+        if self.in_flight() < self.limit() && self.queued_requests.is_empty() {
             return Duration::ZERO;
         }
         let competing =
-            self.queues.iter().filter(|(other, queue)| queue.queued > 0 || **other == class);
+            self.queues.iter().filter(|(other, queue)| queue.request_count > 0 || **other == class);
         let total_weight: u64 = competing.map(|(other, _)| other.weight()).sum();
         let share = class.weight() as f64 / total_weight as f64;
-        let queue_position = self.queues[&class].queued as f64 + 1.0;
+        let queue_position = self.queues[&class].request_count as f64 + 1.0;
         let class_slots = (f64::from(self.limit()) * share).max(0.1);
-        self.service_time().mul_f64(queue_position / class_slots)
+        self.service_latency().mul_f64(queue_position / class_slots)
     }
 }
--- a/crates/teaseltrack/src/cell.rs
+++ b/crates/teaseltrack/src/cell.rs
@@ -267,7 +267,7 @@
     configuration: QueueConfiguration,
     jobs: SlotMap<JobKey, Job>,
     by_id: HashMap<JobId, JobKey>,
-    active: Vec<JobKey>,
+    open_jobs: Vec<JobKey>,
     workers: SlotMap<WorkerKey, Worker>,
     by_incarnation: HashMap<WorkerIncarnation, WorkerKey>,
     by_agent: BTreeMap<InstanceId, WorkerKey>,
@@ -302,7 +302,7 @@
             configuration,
             jobs: SlotMap::with_key(),
             by_id: HashMap::new(),
-            active: Vec::new(),
+            open_jobs: Vec::new(),
             workers: SlotMap::with_key(),
             by_incarnation: HashMap::new(),
             by_agent: BTreeMap::new(),
@@ -366,7 +366,7 @@
         self.by_id.insert(stored.id, key);
         self.restore_occurrences(key, progress.occurrences, now);
         if !self.jobs[key].state.is_final() || self.has_runs(key) {
-            self.active.push(key);
+            self.open_jobs.push(key);
         }
         if stored.is_cancelled {
             self.cancel_job(key);
@@ -385,17 +385,17 @@
     /// committed; a cancellation is stored before the owner applies it, and is shown at once.
     pub fn state(&self, id: &str) -> Option<JobState> {
         let job = &self.jobs[*self.by_id.get(id)?];
-        let is_committed = !job.state.is_final() || job.committed_state == job.state;
+        let is_visible = !job.state.is_final() || job.committed_state == job.state;
         Some(match job.state {
             JobState::Cancelled => JobState::Cancelled,
-            state if is_committed => state,
+            state if is_visible => state,
             _ => JobState::Active,
         })
     }
 
     /// Number of jobs of a queue in state [`JobState::Queued`].
     pub fn pending_count(&self, queue: &str) -> usize {
-        self.active
+        self.open_jobs
             .iter()
             .filter_map(|key| self.jobs.get(*key))
             .filter(|job| job.state == JobState::Queued && job.spec.queue == queue)
@@ -405,7 +405,7 @@
     /// Number of jobs that are not final, still have runs, or whose final state is not yet
     /// committed.
     pub fn open_count(&self) -> usize {
-        self.active.len()
+        self.open_jobs.len()
     }
 
     /// Processes an agent's report and returns the response.
@@ -420,7 +420,7 @@
         let mut response = ReportResponse { epoch: self.epoch, ..ReportResponse::default() };
         let Some(status) = report.status else { return response };
         let Some(key) = self.attach_agent(&report.agent, status, now) else { return response };
-        if !self.check_session(key, report.session, report.started_unix_ms, &report.agent) {
+        if !self.ensure_session(key, report.session, report.started_unix_ms, &report.agent) {
             response.session = self.workers[key].session;
             response.first_order = 1;
             self.grant_lease(key, report.worker_clock_ms, may_grant, now, &mut response);
@@ -526,10 +526,11 @@
             let tail_ms = *tail_ms as f64;
             let idle_tail_ms = estimates.idle_tail_ms(image, tail_ms);
             let tail = Tail { tail_ms, idle_tail_ms, target_ms: *target_ms as f64 };
-            let baseline = tail.utilization() / (1.0 + estimates.total_growth(image, &usage));
-            let headroom = tail.utilization_at(limit) / baseline - 1.0;
-            let lowest = headrooms.entry(image.clone()).or_insert(headroom);
-            *lowest = headroom.min(*lowest);
+            let base_utilization =
+                tail.utilization() / (1.0 + estimates.total_growth(image, &usage));
+            let headroom = tail.utilization_at(limit) / base_utilization - 1.0;
+            let min_headroom = headrooms.entry(image.clone()).or_insert(headroom);
+            *min_headroom = headroom.min(*min_headroom);
         }
         let worker = &mut self.workers[key];
         worker.headrooms = headrooms;
@@ -547,7 +548,7 @@
             return None;
         }
         let dirty: Vec<JobKey> = self
-            .active
+            .open_jobs
             .iter()
             .copied()
             .filter(|key| self.jobs.get(*key).is_some_and(|job| job.is_dirty))
@@ -589,7 +590,7 @@
         for (worker, task) in effects.starts {
             self.enqueue_start(worker, task);
         }
-        self.active.retain(|key| {
+        self.open_jobs.retain(|key| {
             let job = &self.jobs[*key];
             !(job.committed_state.is_final() && !job.is_dirty && job.occurrences.is_empty())
         });
@@ -692,7 +693,7 @@
 
     /// Whether the report belongs to the active session. Starts a session if the worker has none or
     /// its agent has restarted.
-    fn check_session(
+    fn ensure_session(
         &mut self,
         key: WorkerKey,
         reported: SessionToken,
@@ -751,8 +752,8 @@
         worker.is_reconciled = true;
         worker.ineligible_until = None;
         let session = worker.session;
-        let unlisted: Vec<TaskKey> = worker.tasks.iter().copied().collect();
-        for task in unlisted {
+        let assigned: Vec<TaskKey> = worker.tasks.iter().copied().collect();
+        for task in assigned {
             let is_listed = self
                 .task(task)
                 .and_then(|task| task.run.as_ref())
--- a/crates/teaseltrack/src/cell/job.rs
+++ b/crates/teaseltrack/src/cell/job.rs
@@ -128,7 +128,7 @@
             if spec.task_count == 0 {
                 return NoTasksSnafu { stage }.fail();
             }
-            if let Some(&dependency) = spec.after.iter().find(|&&earlier| earlier >= stage) {
+            if let Some(&dependency) = spec.after.iter().find(|&&dependency| dependency >= stage) {
                 return BadDependencySnafu { stage, dependency }.fail();
             }
         }
@@ -150,7 +150,7 @@
         let mut path_ends_ms: Vec<u64> = Vec::with_capacity(self.stages.len());
         for stage in &self.stages {
             let ready_ms =
-                stage.after.iter().map(|&earlier| path_ends_ms[earlier]).max().unwrap_or(0);
+                stage.after.iter().map(|&dependency| path_ends_ms[dependency]).max().unwrap_or(0);
             path_ends_ms.push(ready_ms + stage.estimate_ms);
         }
         path_ends_ms.into_iter().max().unwrap_or(0)
--- a/crates/teaseltrack/src/cell/pacing.rs
+++ b/crates/teaseltrack/src/cell/pacing.rs
@@ -56,7 +56,7 @@
 }
 
 /// Demand of a best-effort task.
-struct Demand<'a> {
+struct PaceDemand<'a> {
     run: &'a RunningTask,
     /// Share of the worker that the task uses at full pace.
     full_pace_share: f64,
@@ -68,7 +68,7 @@
 pub struct Pacer {
     settings: PacingSettings,
     traits: HashMap<TaskName, SharingTraits>,
-    confirmed: HashMap<TaskName, (AttemptNumber, u32)>,
+    confirmed_paces: HashMap<TaskName, (AttemptNumber, u32)>,
     estimates: InterferenceEstimates,
     full_pace_shares: HashMap<TaskName, f64>,
     previous_usage: ImageUsage,
@@ -85,7 +85,7 @@
         Self {
             settings,
             traits: HashMap::new(),
-            confirmed: HashMap::new(),
+            confirmed_paces: HashMap::new(),
             estimates: InterferenceEstimates::default(),
             full_pace_shares: HashMap::new(),
             previous_usage: ImageUsage::new(),
@@ -141,7 +141,7 @@
 
     /// Records that the worker has applied a pace.
     pub fn confirm(&mut self, change: &PaceChange) {
-        self.confirmed.insert(change.task.clone(), (change.attempt, change.percent));
+        self.confirmed_paces.insert(change.task.clone(), (change.attempt, change.percent));
     }
 
     fn pace_change(&self, run: &RunningTask) -> Option<PaceChange> {
@@ -158,13 +158,13 @@
 
     fn current_percent(&self, run: &RunningTask) -> u32 {
         let confirmed =
-            self.confirmed.get(&run.task).filter(|(attempt, _)| *attempt == run.attempt);
+            self.confirmed_paces.get(&run.task).filter(|(attempt, _)| *attempt == run.attempt);
         confirmed.map_or(FULL_PERCENT, |(_, percent)| *percent)
     }
 
     fn remove_ended(&mut self, running: &[RunningTask]) {
-        if self.confirmed.len() > running.len() {
-            self.confirmed.retain(|task, _| running.iter().any(|run| run.task == *task));
+        if self.confirmed_paces.len() > running.len() {
+            self.confirmed_paces.retain(|task, _| running.iter().any(|run| run.task == *task));
         }
         if self.full_pace_shares.len() > running.len() {
             self.full_pace_shares.retain(|task, _| running.iter().any(|run| run.task == *task));
@@ -273,11 +273,11 @@
 
     /// Allocates the headroom of the serving tasks to best-effort tasks.
     fn allocate(&mut self, running: &[RunningTask], mut headrooms: BTreeMap<ImageName, f64>) {
-        let mut demands: BTreeMap<ImageName, Vec<Demand<'_>>> = BTreeMap::new();
+        let mut demands: BTreeMap<ImageName, Vec<PaceDemand<'_>>> = BTreeMap::new();
         for run in running {
             let Some(image) = self.best_effort_image(run) else { continue };
             let full_pace_share = self.full_pace_shares.get(&run.task).copied();
-            demands.entry(image).or_default().push(Demand {
+            demands.entry(image).or_default().push(PaceDemand {
                 run,
                 full_pace_share: full_pace_share.unwrap_or(self.settings.default_share),
                 is_unpaused: self.current_percent(run) > 0,
--- a/crates/teaseltrack/src/cell/planning.rs
+++ b/crates/teaseltrack/src/cell/planning.rs
@@ -92,7 +92,7 @@
 struct Candidate {
     /// Kind, lateness, queue priority, and deadline or its substitute; the lowest comes first.
     rank: (TaskKind, Lateness, u32, Instant),
-    stage: TaskKey,
+    first_task: TaskKey,
     waiting: Vec<u32>,
 }
 
@@ -173,7 +173,7 @@
     }
 
     fn begin_due_occurrences(&mut self, unix_now_ms: u64) {
-        for key in self.active.clone() {
+        for key in self.open_jobs.clone() {
             let job = &self.jobs[key];
             if job.state.is_final() {
                 continue;
@@ -232,14 +232,14 @@
 
     fn candidates(&self, now: Instant) -> Vec<Candidate> {
         let mut candidates = Vec::new();
-        for &key in &self.active {
+        for &key in &self.open_jobs {
             let Some(job) = self.jobs.get(key).filter(|job| !job.state.is_final()) else {
                 continue;
             };
-            for (occurrence, state) in job.occurrences.iter().enumerate() {
-                for (number, stage) in job.spec.stages.iter().enumerate() {
-                    let tasks = &state.stages[number];
-                    if !is_ready(state, stage) {
+            for (occurrence_index, occurrence) in job.occurrences.iter().enumerate() {
+                for (stage_index, stage) in job.spec.stages.iter().enumerate() {
+                    let tasks = &occurrence.stages[stage_index];
+                    if !is_ready(occurrence, stage) {
                         continue;
                     }
                     let waiting: Vec<u32> = (0..tasks.len() as u32)
@@ -248,14 +248,14 @@
                     if waiting.is_empty() || (stage.is_gang && waiting.len() < tasks.len()) {
                         continue;
                     }
-                    let stage_key = TaskKey {
+                    let first_task = TaskKey {
                         job: key,
-                        occurrence: occurrence as u32,
-                        stage: number as u32,
+                        occurrence: occurrence_index as u32,
+                        stage: stage_index as u32,
                         index: 0,
                     };
                     let rank = self.rank(key, stage, now);
-                    candidates.push(Candidate { rank, stage: stage_key, waiting });
+                    candidates.push(Candidate { rank, first_task, waiting });
                 }
             }
         }
@@ -276,12 +276,12 @@
         } else {
             Lateness::LongOverdue
         };
-        let order = if stage.is_best_effort {
+        let ordering_time = if stage.is_best_effort {
             job.accepted_at + self.remaining_work_delay(key)
         } else {
             deadline
         };
-        (TaskKind::of(stage), lateness, job.queue.priority, order)
+        (TaskKind::of(stage), lateness, job.queue.priority, ordering_time)
     }
 
     /// Delay of a best-effort job in the scheduling order, in proportion to its remaining work.
@@ -289,12 +289,12 @@
     /// delay is added to the time of acceptance.
     fn remaining_work_delay(&self, key: JobKey) -> Duration {
         let job = &self.jobs[key];
-        let remaining_core_ms = |number: usize, stage: &Stage| {
+        let remaining_core_ms = |stage_index: usize, stage: &Stage| {
             let is_done = |task: &&Task| task.progress.phase == TaskPhase::Done;
             let done: usize = job
                 .occurrences
                 .iter()
-                .map(|occurrence| occurrence.stages[number].iter().filter(is_done).count())
+                .map(|occurrence| occurrence.stages[stage_index].iter().filter(is_done).count())
                 .sum();
             let started_count = job.occurrences.len().max(1) as u64;
             let remaining =
@@ -302,15 +302,16 @@
             remaining * stage.estimate_ms * stage.resources.cpu_milli / 1_000
         };
         let stages = job.spec.stages.iter().enumerate();
-        let core_ms: u64 = stages.map(|(number, stage)| remaining_core_ms(number, stage)).sum();
-        let fleet_milli: u64 = self
+        let core_ms: u64 =
+            stages.map(|(stage_index, stage)| remaining_core_ms(stage_index, stage)).sum();
+        let cell_milli: u64 = self
             .workers
             .values()
             .filter_map(|worker| worker.status.as_ref())
             .map(|status| status.capacity.cpu_milli)
             .sum();
-        let fleet_ms = core_ms as f64 * 1_000.0 / fleet_milli.max(1) as f64;
-        Duration::from_millis((fleet_ms * self.settings.planning.remaining_work_weight) as u64)
+        let cell_ms = core_ms as f64 * 1_000.0 / cell_milli.max(1) as f64;
+        Duration::from_millis((cell_ms * self.settings.planning.remaining_work_weight) as u64)
     }
 
     fn place_stage(
@@ -320,15 +321,15 @@
         unplaceable: &mut UnplaceableSizes,
         now: Instant,
     ) {
-        let stage = self.stage(candidate.stage).clone();
-        let service = self.jobs[candidate.stage.job].queue.service.clone();
+        let stage = self.stage(candidate.first_task).clone();
+        let service = self.jobs[candidate.first_task.job].queue.service.clone();
         if unplaceable.covers(&service, &stage) {
             return;
         }
         let attempt = self.next_gang_attempt(candidate, &stage);
         let mut placed = Vec::new();
         for &index in &candidate.waiting {
-            let key = TaskKey { index, ..candidate.stage };
+            let key = TaskKey { index, ..candidate.first_task };
             let batch_reserve = self.batch_reserve_for(key, now);
             let chosen = self.choose_worker(key, &stage, workers, batch_reserve);
             let Some(worker) = chosen else {
@@ -362,10 +363,10 @@
     /// is free. Its interference with serving tasks is ignored, because agents pace the task.
     fn relieve_starvation(&mut self, candidate: &Candidate, workers: &[WorkerKey], now: Instant) {
         let settings = self.settings.planning;
-        let stage = self.stage(candidate.stage).clone();
-        let job = candidate.stage.job;
+        let stage = self.stage(candidate.first_task).clone();
+        let job = candidate.first_task.job;
         let Some(&index) = candidate.waiting.first() else { return };
-        let key = TaskKey { index, ..candidate.stage };
+        let key = TaskKey { index, ..candidate.first_task };
         if !stage.is_best_effort || stage.is_gang || self.has_runs(job) {
             return;
         }
@@ -411,9 +412,9 @@
         if !stage.is_gang {
             return None;
         }
-        let members = &self.jobs[candidate.stage.job].occurrences
-            [candidate.stage.occurrence as usize]
-            .stages[candidate.stage.stage as usize];
+        let members = &self.jobs[candidate.first_task.job].occurrences
+            [candidate.first_task.occurrence as usize]
+            .stages[candidate.first_task.stage as usize];
         let last = members.iter().map(|task| task.progress.attempt).max().unwrap_or(0);
         Some(self.attempt_after(last))
     }
@@ -466,8 +467,8 @@
 }
 
 fn is_ready(occurrence: &Occurrence, stage: &Stage) -> bool {
-    let is_done = |earlier: &usize| {
-        occurrence.stages[*earlier].iter().all(|task| task.progress.phase == TaskPhase::Done)
+    let is_done = |dependency: &usize| {
+        occurrence.stages[*dependency].iter().all(|task| task.progress.phase == TaskPhase::Done)
     };
     stage.after.iter().all(is_done)
 }
--- a/crates/teaseltrack/src/membership.rs
+++ b/crates/teaseltrack/src/membership.rs
@@ -107,7 +107,7 @@
             + target_bytes
     }
 
-    fn digest(&self) -> u64 {
+    fn hash(&self) -> u64 {
         let state = self.state as u8;
         xxh3_64(format!("{}/{}/{state}", self.instance, self.incarnation).as_bytes())
     }
@@ -234,7 +234,7 @@
     pub fn digest(&self) -> Digest {
         let mut digest = vec![0_u64; DIGEST_BUCKETS];
         for tracked in self.members.values() {
-            digest[tracked.member.bucket()] ^= tracked.member.digest();
+            digest[tracked.member.bucket()] ^= tracked.member.hash();
         }
         digest
     }
--- a/crates/teaseltrack/tests/routing.rs
+++ b/crates/teaseltrack/tests/routing.rs
@@ -8,7 +8,7 @@
 
 const SERVICE: &str = "tickets";
 const ZONE: &str = "zilina-a";
-const DRAWS: u32 = 400;
+const SELECTIONS: u32 = 400;
 
 struct Fixture {
     router: Router,
@@ -24,13 +24,13 @@
     let keys = zones
         .iter()
         .enumerate()
-        .map(|(index, zone)| router.upsert(info(index, zone, 1), start))
+        .map(|(index, zone)| router.upsert(target_info(index, zone, 1), start))
         .collect();
     let now = start + Duration::from_secs(60);
     Fixture { router, keys, now, rng: ChaCha8Rng::seed_from_u64(1) }
 }
 
-fn info(index: usize, zone: &str, incarnation: u64) -> TargetInfo {
+fn target_info(index: usize, zone: &str, incarnation: u64) -> TargetInfo {
     TargetInfo {
         instance: format!("agent-{index}"),
         zone: zone.to_owned(),
@@ -45,10 +45,10 @@
         self.router.choose(SERVICE, ZONE, tried, self.now, &mut self.rng)
     }
 
-    /// Number of times that each target is chosen in `DRAWS` selections.
+    /// Number of times that each target is chosen in `SELECTIONS` selections.
     fn selection_counts(&mut self) -> Vec<u32> {
         let mut counts = vec![0; self.keys.len()];
-        for _ in 0..DRAWS {
+        for _ in 0..SELECTIONS {
             let chosen = self.choose(&[]).unwrap();
             let index = self.keys.iter().position(|key| *key == chosen).unwrap();
             counts[index] += 1;
@@ -86,7 +86,7 @@
     let mut fixture = fixture(&[ZONE, "martin-b"]);
     (0..2).for_each(|index| fixture.respond(index, 5));
     (0..8).for_each(|_| fixture.router.begin_attempt(fixture.keys[0]));
-    assert_eq!(fixture.selection_counts(), [0, DRAWS]);
+    assert_eq!(fixture.selection_counts(), [0, SELECTIONS]);
 }
 
 #[test]
@@ -102,7 +102,7 @@
 fn choose_other_than_tried() {
     let mut fixture = fixture(&[ZONE, ZONE]);
     let tried = [fixture.keys[0]];
-    for _ in 0..DRAWS {
+    for _ in 0..SELECTIONS {
         assert_eq!(fixture.choose(&tried), Some(fixture.keys[1]));
     }
     let tried = fixture.keys.clone();
@@ -132,7 +132,7 @@
     let draining = LoadReport { is_draining: true, ..LoadReport::default() };
     fixture.router.begin_attempt(fixture.keys[1]);
     fixture.router.end_unmeasured_attempt(fixture.keys[1], Some(draining));
-    assert_eq!(fixture.selection_counts(), [0, 0, DRAWS]);
+    assert_eq!(fixture.selection_counts(), [0, 0, SELECTIONS]);
 }
 
 #[test]
@@ -142,7 +142,7 @@
     fixture.router.begin_attempt(fixture.keys[0]);
     fixture.router.end_unmeasured_attempt(fixture.keys[0], Some(draining));
     assert_eq!(fixture.selection_counts()[0], 0);
-    fixture.keys[0] = fixture.router.upsert(info(0, ZONE, 2), fixture.now);
+    fixture.keys[0] = fixture.router.upsert(target_info(0, ZONE, 2), fixture.now);
     fixture.now += Duration::from_secs(60);
     assert_eq!(fixture.selection_counts()[1], 0);
 }
@@ -151,7 +151,7 @@
 fn choose_slow_start_of_new_target() {
     let mut fixture = fixture(&[ZONE, ZONE]);
     (0..2).for_each(|index| fixture.respond(index, 5));
-    fixture.keys.push(fixture.router.upsert(info(2, ZONE, 1), fixture.now));
+    fixture.keys.push(fixture.router.upsert(target_info(2, ZONE, 1), fixture.now));
     assert_eq!(fixture.selection_counts()[2], 0);
     fixture.now += Duration::from_secs(10);
     assert!(fixture.selection_counts()[2] > 0);
