--- a/crates/teaseltrack/src/admission.rs
+++ b/crates/teaseltrack/src/admission.rs
@@ -3,7 +3,9 @@
 //! A request is dispatched, queued up to a bound, or refused with an error kind that guarantees
 //! that it didn't run. Free slots are shared between classes by weight (start-time fair queueing)
 //! and between the teams of a class by round robin, so that a flood of requests in one class or
-//! from one team doesn't starve the others.
+//! from one team doesn't starve the queued requests of the others. The queue bound applies per
+//! class, not per team: one team can fill the queue of a class, and new requests of the other teams
+//! in that class are then refused.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -41,7 +43,7 @@
 
 /// Virtual time charged to a class of weight 1 for each dispatch; a multiple of every weight.
 const DISPATCH_COST: u64 = 12;
-/// Service time assumed before the first latency sample.
+/// Service latency assumed before the first sample.
 const ASSUMED_SERVICE_LATENCY: Duration = Duration::from_millis(1);
 /// Minimum retry delay that a refusal advises.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
@@ -89,7 +91,7 @@
 /// Outcome of [`Admission::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// The request is queued until [`Admission::dispatch`] returns its ticket.
+    /// The request is queued until it is dispatched, expires or is cancelled.
     Queued(TicketKey),
     /// The request is refused and won't run.
     Refused(Refusal),
@@ -221,7 +223,8 @@
         self.is_draining = true;
     }
 
-    /// Queues a request, or refuses it if it can't be completed within its deadline.
+    /// Queues a request, or refuses it if the target is draining, the queue of its class is full,
+    /// or it is not expected to complete within its deadline.
     pub fn offer(&mut self, now: Instant, meta: RequestMeta) -> AdmissionDecision {
         if self.is_draining {
             return self.refuse(ErrorKind::Draining, MIN_RETRY_AFTER);
@@ -240,7 +243,8 @@
         AdmissionDecision::Queued(self.enqueue(meta))
     }
 
-    /// Dispatches the next queued request; `None` if no request is queued or no slot is free.
+    /// Dispatches the next queued request; `None` if no request is queued or the concurrency limit,
+    /// which is at most the number of slots, is reached.
     ///
     /// Doesn't check deadlines: remove requests past their deadline with [`Self::expire`] first.
     pub fn dispatch(&mut self) -> Option<Dispatched> {
@@ -272,7 +276,8 @@
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Frees the slot of a finished request; `latency` is `None` if the target didn't respond.
+    /// Frees the slot of a finished request and records its service latency; `latency` is `None` if
+    /// the target didn't respond.
     pub fn release(&mut self, permit: PermitKey, latency: Option<Duration>) {
         if self.running.remove(permit).is_none() {
             return;
@@ -303,6 +308,7 @@
             self.queued_requests.insert(QueuedRequest { class, team: team.clone(), deadline });
         self.by_deadline.insert((deadline, ticket));
         let queue = self.queues.entry(class).or_default();
+        // A class gains no credit while idle.
         if queue.request_count == 0 {
             queue.virtual_time = queue.virtual_time.max(virtual_now);
         }
--- a/crates/teaseltrack/src/cell.rs
+++ b/crates/teaseltrack/src/cell.rs
@@ -1,10 +1,12 @@
-//! State machine of a cell's owner, which schedules jobs of dependent stages on the cell's workers.
+//! State machine of a cell's owner. A cell is a set of workers on which one owner at a time
+//! schedules jobs of dependent stages.
 //!
-//! The owner keeps all state in memory and commits job progress ([`progress`]) in batches. The
-//! order of these steps prevents a task from running twice: a start order is sent only after its
-//! assignment is committed, and a worker discards an end only after the end is committed. After a
-//! takeover, the new owner recovers uncommitted state from the workers' listings, which it requests
-//! under a higher session token. An unreachable worker keeps its tasks until its lease expires.
+//! The owner keeps all state in memory and commits job progress ([`progress`]) in batches. A start
+//! order is sent only after its assignment is committed, and a worker discards the record of an
+//! ended run only after the owner has committed it; together this prevents a task from running
+//! twice. After a takeover, the new owner recovers uncommitted state from the workers' listings,
+//! which it requests under a higher session token. An unreachable worker keeps its tasks until its
+//! lease expires.
 //!
 //! [`Cell`] processes submissions, cancellations and reports, plans ([`planning`]), and returns the
 //! progress to commit and the orders to send. It performs no I/O; callers pass in the current time.
@@ -54,9 +56,10 @@
     pub struct WorkerKey;
 }
 
-/// Attempt numbers reserved for each epoch, per task.
+/// Attempt numbers of a task reserved for each epoch. A new owner starts above its predecessor's
+/// range, so that it doesn't reuse numbers that the predecessor assigned but didn't commit.
 const ATTEMPTS_PER_EPOCH: u32 = 1_000;
-/// Session numbers reserved for each epoch.
+/// Session numbers reserved for each epoch, so that session tokens increase from owner to owner.
 const SESSIONS_PER_EPOCH: u64 = 1 << 20;
 /// Interval of interference estimation, stall detection and slowdown decay; about the interval at
 /// which tails are reported.
@@ -71,7 +74,8 @@
     pub lease: Duration,
     /// Maximum rate, as a fraction, by which a worker's clock may run slow.
     pub clock_drift: f64,
-    /// Safety margin added to every wait for a lease to expire.
+    /// Safety margin added to every wait for a lease to expire, for the time that a worker takes to
+    /// stop its tasks.
     pub lease_margin: Duration,
     /// Time without a report from the agent after which its worker gets no new tasks.
     pub agent_timeout: Duration,
@@ -86,7 +90,8 @@
 }
 
 impl CellSettings {
-    /// Upper bound on the real duration of a lease, given the slowest allowed worker clock.
+    /// Time after the grant of a lease until nothing runs under it, even with the slowest allowed
+    /// worker clock.
     pub fn worst_case_lease(&self) -> Duration {
         self.lease.mul_f64(1.0 + self.clock_drift) + self.lease_margin
     }
@@ -96,23 +101,36 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     worker: WorkerKey,
+    /// Session of the assignment or of the last listing with the run; 0 for a run restored from the
+    /// store until the worker lists it.
     session: SessionToken,
+    /// Whether the worker has listed the run to this owner.
     is_listed: bool,
+    /// Whether the run has been ordered to stop.
     is_stopping: bool,
+    /// Completed share of the work, as last listed.
     percent: u32,
+    /// Tail latency or CPU use, as last listed; see [`RunningTask::gauge`].
     gauge: u64,
     first_listed_at: Option<Instant>,
+    /// Start of the stall timeout.
     progressed_at: Option<Instant>,
 }
 
 /// Scheduling state of a task.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
+    /// Progress to commit, except that an assignment is derived from `run` on commit
+    /// ([`Cell::progress_to_commit`]): with a new run, `phase` stays [`TaskPhase::Waiting`].
     progress: TaskProgress,
     run: Option<Run>,
+    /// Time at which planning first tried to place the task; cleared when its run ends.
     waiting_since: Option<Instant>,
+    /// Worker on which a run failed or stalled, or from which the task was moved.
     avoided_worker: Option<WorkerKey>,
+    /// Time of the last move by [`regrouping`].
     moved_at: Option<Instant>,
+    /// Duration of the completed run.
     run_time: Option<Duration>,
 }
 
@@ -244,7 +262,7 @@
 }
 
 impl CellEvent {
-    /// Name in metrics; ended runs are named by their cause.
+    /// Name in metrics; ended runs are named by their cause and final jobs by their state.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Assigned { .. } => "assigned",
@@ -267,6 +285,7 @@
     configuration: QueueConfiguration,
     jobs: SlotMap<JobKey, Job>,
     by_id: HashMap<JobId, JobKey>,
+    /// Jobs that are not final, still have runs, or whose final state is not yet committed.
     open_jobs: Vec<JobKey>,
     workers: SlotMap<WorkerKey, Worker>,
     by_incarnation: HashMap<WorkerIncarnation, WorkerKey>,
@@ -402,15 +421,16 @@
             .count()
     }
 
-    /// Number of jobs that are not final, still have runs, or whose final state is not yet
-    /// committed.
+    /// Number of open jobs: jobs that are not final, still have runs, or whose final state is not
+    /// yet committed.
     pub fn open_count(&self) -> usize {
         self.open_jobs.len()
     }
 
     /// Processes an agent's report and returns the response.
     ///
-    /// `may_grant` is true while the owner may grant leases.
+    /// `may_grant` states whether the owner has renewed its ownership recently enough to grant
+    /// leases.
     pub fn handle_report(
         &mut self,
         report: Report,
@@ -421,6 +441,8 @@
         let Some(status) = report.status else { return response };
         let Some(key) = self.attach_agent(&report.agent, status, now) else { return response };
         if !self.ensure_session(key, report.session, report.started_unix_ms, &report.agent) {
+            // Carries no orders: the agent gets those of the session, which are numbered from 1,
+            // once it reports under it.
             response.session = self.workers[key].session;
             response.first_order = 1;
             self.grant_lease(key, report.worker_clock_ms, may_grant, now, &mut response);
@@ -467,8 +489,8 @@
         })
     }
 
-    /// Response for a parked report, with the orders and committed ends since it was received.
-    /// Grants no lease.
+    /// Response to a parked report: one without an immediate response, because there were no orders
+    /// or committed ends to send. Grants no lease.
     pub fn pending_update(&self, agent: &str) -> ReportResponse {
         let mut response = ReportResponse { epoch: self.epoch, ..ReportResponse::default() };
         let Some(worker) = self.by_agent.get(agent).map(|key| &self.workers[*key]) else {
@@ -560,6 +582,8 @@
         }
         let mut batch = CommitBatch::default();
         let mut effects = PendingEffects::default();
+        // A worker discards the record of an ended run once the end is committed, so ends are
+        // confirmed only by a batch that contains the progress of all dirty jobs.
         if dirty.len() <= max_rows {
             effects.ends =
                 self.workers.iter().map(|(key, worker)| (key, worker.processed_end)).collect();
@@ -691,8 +715,8 @@
         Some(key)
     }
 
-    /// Whether the report belongs to the active session. Starts a session if the worker has none or
-    /// its agent has restarted.
+    /// Starts a session if the worker has none or its agent has restarted. Returns whether the
+    /// report belongs to the active session; a report never belongs to a session that it started.
     fn ensure_session(
         &mut self,
         key: WorkerKey,
@@ -730,6 +754,8 @@
             return;
         }
         response.lease_until_ms = Some(worker_clock_ms + self.settings.lease.as_millis() as u64);
+        // A repeated or late clock reading yields a lease that ends no later than one already
+        // granted.
         if worker_clock_ms > worker.clock_ms {
             worker.clock_ms = worker_clock_ms;
             let end = now + worst_case_lease;
@@ -746,10 +772,13 @@
             self.reconcile_run(key, run, now);
         }
         let worker = &mut self.workers[key];
+        // Only the first listing of a session shows which start orders of earlier sessions were not
+        // executed; later listings may lack runs whose start order is still in transit.
         if worker.is_reconciled {
             return;
         }
         worker.is_reconciled = true;
+        // A new session ends a refusal back-off or probation.
         worker.ineligible_until = None;
         let session = worker.session;
         let assigned: Vec<TaskKey> = worker.tasks.iter().copied().collect();
@@ -853,6 +882,7 @@
         if stage.is_long_running {
             return;
         }
+        // The first member of a gang to complete completes all members.
         let members = if stage.is_gang { 0..stage.task_count } else { key.index..key.index + 1 };
         for index in members {
             let member = TaskKey { index, ..key };
@@ -871,6 +901,7 @@
             return;
         }
         let max_attempts = job.queue.max_attempts.max(1);
+        // The failure of one member of a gang counts for all members.
         let members = if stage.is_gang { 0..stage.task_count } else { key.index..key.index + 1 };
         let mut failure_count = 0;
         for index in members {
@@ -976,6 +1007,8 @@
         }
     }
 
+    /// Puts a job into a final state and orders its runs to stop. Its task state is kept until
+    /// [`Self::finalize_if_done`] finds no runs left.
     fn finish(&mut self, key: JobKey, state: JobState) {
         let job = &mut self.jobs[key];
         if job.state.is_final() {
--- a/crates/teaseltrack/src/cell/job.rs
+++ b/crates/teaseltrack/src/cell/job.rs
@@ -10,7 +10,7 @@
 /// Name of a queue.
 pub type QueueName = String;
 
-/// Maximum number of tasks of a job; its state must fit into one progress record.
+/// Maximum number of tasks of a job, over all stages; its state must fit into one progress record.
 const MAX_TASKS_PER_JOB: u64 = 1_000;
 
 /// Reason why a job is invalid.
@@ -22,15 +22,15 @@
     /// A stage without tasks.
     #[snafu(display("stages.{stage}.task_count: 0"))]
     NoTasks {
-        /// Number of the stage.
+        /// Index of the stage.
         stage: usize,
     },
     /// A stage that depends on itself or a later stage.
     #[snafu(display("stages.{stage}.after: {dependency} isn't an earlier stage"))]
     BadDependency {
-        /// Number of the stage.
+        /// Index of the stage.
         stage: usize,
-        /// Number of the stage that it depends on.
+        /// Index of the stage that it depends on.
         dependency: usize,
     },
     /// More tasks than fit into a progress record.
@@ -51,16 +51,18 @@
     pub resources: Resources,
     /// The caller's estimate of a task's run time.
     pub estimate_ms: u64,
-    /// Stages that must be completed first.
+    /// Indexes of the stages that must be completed first.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<usize>,
-    /// Whether tasks write checkpoints.
+    /// Whether tasks write checkpoints; not used by the scheduler, which keeps any checkpoint that
+    /// a worker reports.
     pub is_checkpointing: bool,
     /// Whether all tasks must run concurrently (gang scheduling).
     pub is_gang: bool,
-    /// Whether tasks run slower when spread across racks.
+    /// Whether tasks run slower when spread across racks; not used by the scheduler.
     pub is_rack_local: bool,
-    /// Whether several copies of a task may run at the same time (speculative execution).
+    /// Whether several copies of a task may run at the same time (speculative execution); not used
+    /// by the scheduler, which runs one copy.
     pub is_speculative: bool,
     /// Whether tasks run until the job is cancelled.
     pub is_long_running: bool,
@@ -69,19 +71,22 @@
     /// Label that a worker must have.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub required_label: Option<String>,
-    /// Rack on which the data is stored.
+    /// Label of the rack on which the data is stored; workers with this label are preferred.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub data_rack: Option<String>,
     /// Maximum number of tasks on one worker.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_per_worker: Option<u32>,
-    /// Image that the tasks run; tasks of one image have the same resource behaviour.
+    /// Image that the tasks run; interference is estimated per image, since tasks of one image have
+    /// the same resource behaviour.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
-    /// Target below which the tail latency of serving tasks must stay.
+    /// Target below which the tail latency that each serving task of the stage reports must stay.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub target_tail_ms: Option<u64>,
-    /// Maximum number of tasks that the system itself may make unavailable at the same time.
+    /// Maximum number of tasks that the system itself may make unavailable at the same time. A task
+    /// is moved to another worker only while all tasks of its stage run, so only 0 has an effect:
+    /// it exempts the tasks from such moves.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_unavailable: Option<u32>,
 }
@@ -105,7 +110,7 @@
     pub queue: QueueName,
     /// Payload that is passed to the worker with each task.
     pub payload: String,
-    /// The stages; a stage's number is its index.
+    /// The stages, each after those that it depends on; a stage's number is its index.
     pub stages: Vec<Stage>,
     /// When the job runs; immediately if `None`.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -146,6 +151,10 @@
     }
 
     /// Estimated run time of the critical path through the stages, in milliseconds.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a stage depends on itself or a later stage; [`Self::validate`] rejects such jobs.
     pub fn critical_path_ms(&self) -> u64 {
         let mut path_ends_ms: Vec<u64> = Vec::with_capacity(self.stages.len());
         for stage in &self.stages {
@@ -167,11 +176,13 @@
     pub service: ServiceName,
     /// Priority of the queue; 0 is the highest.
     pub priority: u32,
-    /// Number of failures of one task at which its job fails.
+    /// Number of failures of one task at which its job fails; 0 counts as 1. The failure of a
+    /// gang's member counts for all members, and failures of long-running tasks don't count.
     pub max_attempts: u32,
-    /// Factor by which the completion time objective multiplies the critical path of a job.
+    /// Factor on the critical path in a job's completion-time objective, which is `stretch` times
+    /// the critical path plus `objective_ms`; values below 1 count as 1.
     pub stretch: f64,
-    /// Constant part of the completion time objective, in milliseconds.
+    /// Constant part of the completion-time objective, in milliseconds.
     pub objective_ms: u64,
 }
 
--- a/crates/teaseltrack/src/cell/pacing.rs
+++ b/crates/teaseltrack/src/cell/pacing.rs
@@ -1,11 +1,13 @@
 //! Pacing of best-effort tasks that are colocated with serving tasks.
 //!
-//! An agent reads the tail latency of its serving tasks twice a second. The headroom of these tasks
-//! is allocated to best-effort tasks: first to the images that interfere least, then within an
-//! image to the tasks that are closest to completion, since a few tasks at full pace finish sooner
-//! than many slow ones. A tail over its target immediately stops the images that may interfere
-//! with it. If it stays over its target, all best-effort tasks are paused for a while, so that
-//! safety doesn't depend on the owner's interference estimates.
+//! An agent reads the tail latency of its serving tasks twice a second. Their headroom is the
+//! relative growth of utilization by which their tails would reach the setpoint. It is allocated to
+//! best-effort tasks: first to the images that interfere least, then within an image to unpaused
+//! tasks before paused ones, and to the tasks that are closest to completion, since a few tasks at
+//! full pace finish sooner than many slow ones. A tail over its target immediately sets the pace of
+//! the images that may interfere with it to 0. If a tail stays over its target, all best-effort
+//! tasks are paused for a while, so that the protection of serving tasks doesn't depend on the
+//! owner's interference estimates.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -21,26 +23,29 @@
     ids::AttemptNumber,
 };
 
-/// Full speed, in percent.
+/// Full pace, in percent.
 const FULL_PERCENT: u32 = 100;
 
 /// Parameters of the pacing controller.
 #[derive(Clone, Copy, Debug)]
 pub struct PacingSettings {
-    /// Share of its target to which a tail is controlled under interference.
+    /// Share of its target that a tail may reach under interference.
     pub setpoint: f64,
     /// Weight of the newest sample in the moving average of a serving task's base utilization (the
-    /// utilization without interference); single tails are noisy.
+    /// utilization without interference), because single tails are noisy. Only decreases are
+    /// smoothed; increases take effect at once.
     pub smoothing_factor: f64,
-    /// Minimum change of a pace that is sent to the worker, in percent.
+    /// Minimum change of a pace that is sent to the worker, in percent; a change to 0 or to full
+    /// pace is always sent.
     pub min_change_percent: u32,
-    /// Minimum pace, in percent; tasks below it are paused.
+    /// Minimum pace, in percent; tasks below it are paused (pace 0).
     pub min_percent: u32,
     /// Assumed share of the worker used by a task at full pace until its use is observed.
     pub default_share: f64,
-    /// Time over the target after which all best-effort tasks are paused.
+    /// Time for which a tail must be over its target before all best-effort tasks are paused.
     pub pause_after: Duration,
-    /// Duration of such a pause; a tail that is still over its target afterwards has other causes.
+    /// Maximum duration of such a pause, which ends early once no tail is over its target. A tail
+    /// that is still over its target afterwards has other causes.
     pub pause_duration: Duration,
 }
 
@@ -51,11 +56,11 @@
     pub task: TaskName,
     /// Its attempt.
     pub attempt: AttemptNumber,
-    /// Share of full speed, in percent.
+    /// Share of full pace, in percent; 0 pauses the task.
     pub percent: u32,
 }
 
-/// Demand of a best-effort task.
+/// Best-effort task to which a pace is allocated.
 struct PaceDemand<'a> {
     run: &'a RunningTask,
     /// Share of the worker that the task uses at full pace.
@@ -68,11 +73,16 @@
 pub struct Pacer {
     settings: PacingSettings,
     traits: HashMap<TaskName, SharingTraits>,
+    /// Last pace that the worker has applied to each task, with its attempt.
     confirmed_paces: HashMap<TaskName, (AttemptNumber, u32)>,
     estimates: InterferenceEstimates,
+    /// Last observed usage of each best-effort task, scaled to full pace, as a share of the worker.
     full_pace_shares: HashMap<TaskName, f64>,
+    /// Usage by image in the previous observation.
     previous_usage: ImageUsage,
+    /// Smoothed utilization of each serving task without interference.
     base_utilizations: HashMap<TaskName, f64>,
+    /// Paces allocated in the last observation, in percent.
     allocated_percents: HashMap<TaskName, u32>,
     over_target_since: Option<Instant>,
     paused_until: Option<Instant>,
@@ -97,7 +107,7 @@
         }
     }
 
-    /// Sets how a task shares the worker.
+    /// Sets the image, the tail target and the best-effort flag of a task.
     pub fn set_traits(&mut self, traits: SharingTraits) {
         self.traits.insert(traits.task.clone(), traits);
     }
@@ -122,7 +132,8 @@
         self.tail_to_target
     }
 
-    /// Processes the running tasks of a worker of `capacity_milli`; returns the paces to set.
+    /// Allocates paces from the worker's listing of running tasks and its CPU capacity in
+    /// millicores; returns the paces to change.
     pub fn observe(
         &mut self,
         running: &[RunningTask],
@@ -169,6 +180,8 @@
         if self.full_pace_shares.len() > running.len() {
             self.full_pace_shares.retain(|task, _| running.iter().any(|run| run.task == *task));
         }
+        // Traits are received before their task is listed as running, so they are pruned only once
+        // they far outnumber the running tasks.
         if self.traits.len() > 4 * running.len() + 64 {
             self.traits.retain(|task, _| running.iter().any(|run| run.task == *task));
         }
@@ -303,6 +316,8 @@
                     demand.full_pace_share * f64::from(percent) / f64::from(FULL_PERCENT);
                 self.allocated_percents.insert(demand.run.task.clone(), percent);
             }
+            // An image with an infinite share interferes with no serving image and uses up no
+            // headroom.
             if allowed_share.is_finite() {
                 for (serving, headroom) in &mut headrooms {
                     *headroom -= self.estimates.utilization_growth(serving, &image)
--- a/crates/teaseltrack/src/cell/planning.rs
+++ b/crates/teaseltrack/src/cell/planning.rs
@@ -1,9 +1,14 @@
 //! Order in which waiting tasks are assigned.
 //!
+//! Serving tasks are the tasks of long-running stages; those with a `target_tail_ms` are protected
+//! from interference. Best-effort tasks are the tasks of other stages with `is_best_effort`, and
+//! all remaining tasks are batch tasks.
+//!
 //! Batch tasks come first, then serving tasks, which leave a reserve of each worker to batch tasks,
 //! then best-effort tasks, which use CPU that no other task needs. Within a kind, stages are
-//! ordered by the lateness of their job, the priority of its queue and the job's deadline;
-//! best-effort stages by remaining work in place of the deadline. [`scoring`] chooses the worker.
+//! ordered by the lateness of their job, the priority of its queue and the job's deadline. In place
+//! of the deadline, best-effort stages have the time at which their job was accepted plus a delay
+//! in proportion to its remaining work. [`scoring`] chooses the worker.
 //!
 //! [`scoring`]: crate::cell::scoring
 
@@ -27,11 +32,11 @@
 /// Settings of planning.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanningSettings {
-    /// Share of a worker's CPU that long-running tasks leave to batch tasks.
+    /// Share of a worker's CPU that serving tasks leave to batch tasks.
     pub batch_reserve: f64,
-    /// Waiting time after which a long-running task may use the reserve as well.
+    /// Waiting time after which a serving task may use the reserve as well.
     pub reserve_wait: Duration,
-    /// Share of their requested CPU that long-running tasks are assumed to use.
+    /// Share of their requested CPU that serving tasks are assumed to use.
     pub serving_utilization: f64,
     /// Share of its requested CPU that must be spare on a worker for a best-effort task to start
     /// there.
@@ -44,7 +49,8 @@
     /// Waiting time after which a best-effort job without runs gets a task regardless of
     /// interference.
     pub starvation_wait: Duration,
-    /// Reserved share of a service's CPU from which on `starvation_wait` has no effect.
+    /// Share of a service's CPU; `starvation_wait` has no effect while at least this much is
+    /// reserved.
     pub starvation_max_load: f64,
     /// Minimum time between two moves of serving tasks.
     pub regroup_interval: Duration,
@@ -53,9 +59,10 @@
     /// Time until the CPU use of an assigned best-effort task appears in its worker's reports.
     pub usage_report_delay: Duration,
     /// Weight of the remaining work in the order of best-effort jobs: a job is delayed by this
-    /// factor times the time that the whole fleet needs for its remaining work.
+    /// factor times the time that all workers of the cell together need for its remaining work.
     pub remaining_work_weight: f64,
-    /// Factor on a job's objective beyond which the job is scheduled last among its kind.
+    /// Multiple of its completion-time objective after which a job is scheduled last among its
+    /// kind.
     pub long_overdue_factor: f64,
 }
 
@@ -79,7 +86,8 @@
     }
 }
 
-/// How far a job is past its objective, in scheduling order.
+/// How far a job is past its completion-time objective, in scheduling order: late jobs must not
+/// delay jobs that can still meet their objective. Serving stages always count as on time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Lateness {
     OnTime,
@@ -90,13 +98,17 @@
 /// Stage with tasks that wait to be assigned.
 #[derive(Clone, Debug)]
 struct Candidate {
-    /// Kind, lateness, queue priority, and deadline or its substitute; the lowest comes first.
+    /// Kind, lateness, queue priority, and deadline or, for best-effort stages, time of acceptance
+    /// plus the delay for remaining work; the lowest comes first.
     rank: (TaskKind, Lateness, u32, Instant),
+    /// Key of the task with index 0, which identifies the stage.
     first_task: TaskKey,
+    /// Indexes of the waiting tasks.
     waiting: Vec<u32>,
 }
 
-/// Task sizes that fitted on no worker in the current planning round; larger tasks are skipped.
+/// Task sizes that fitted on no worker in the current planning round; tasks of the same or a larger
+/// size are skipped.
 #[derive(Debug, Default)]
 struct UnplaceableSizes {
     sizes: HashMap<(ServiceName, Option<ImageName>), Vec<Resources>>,
@@ -108,6 +120,7 @@
         (service.to_owned(), image)
     }
 
+    /// Whether a size that the stage's tasks equal or exceed could not be placed.
     fn covers(&self, service: &str, stage: &Stage) -> bool {
         let sizes = self.sizes.get(&Self::key(service, stage));
         !stage.is_long_running
@@ -127,7 +140,9 @@
 }
 
 impl Cell {
-    /// Assigns waiting tasks to workers. The start orders are sent after the next commit.
+    /// Runs a planning round: begins due occurrences, stops serving tasks on draining workers,
+    /// assigns waiting tasks, gives a task to each starved best-effort job, and, unless serving
+    /// tasks were waiting, regroups them. Start orders are sent after the next commit.
     pub fn plan(&mut self, unix_now_ms: u64, now: Instant) {
         self.needs_plan = false;
         self.begin_due_occurrences(unix_now_ms);
@@ -205,7 +220,7 @@
         job.occurrences.push(Occurrence { stages });
     }
 
-    /// Stops long-running tasks on draining workers.
+    /// Stops serving tasks on draining workers.
     fn evacuate_draining_workers(&mut self) {
         let affected: Vec<TaskKey> = self
             .workers
@@ -334,8 +349,8 @@
             let chosen = self.choose_worker(key, &stage, workers, batch_reserve);
             let Some(worker) = chosen else {
                 unplaceable.record(&service, &stage);
-                // Whether a serving task may use the reserve depends on its own waiting time; all
-                // other tasks of a stage are interchangeable.
+                // Another serving task of the stage may have waited long enough to use the reserve.
+                // All other tasks of a stage are interchangeable: if one doesn't fit, none does.
                 if stage.is_long_running {
                     continue;
                 }
@@ -359,8 +374,9 @@
         }
     }
 
-    /// Assigns one task of a best-effort job that has waited without runs while much of the fleet
-    /// is free. Its interference with serving tasks is ignored, because agents pace the task.
+    /// Assigns one task of a best-effort job that has waited without runs for `starvation_wait`, if
+    /// less than `starvation_max_load` of its service's CPU is reserved. Its interference with
+    /// serving tasks is ignored, because agents pace the task.
     fn relieve_starvation(&mut self, candidate: &Candidate, workers: &[WorkerKey], now: Instant) {
         let settings = self.settings.planning;
         let stage = self.stage(candidate.first_task).clone();
@@ -397,8 +413,11 @@
         reserved_milli as f64 / capacity_milli.max(1) as f64
     }
 
-    /// Share of a worker's CPU that a task must leave free; 0 once it has waited for
-    /// `reserve_wait`.
+    /// Share of a worker's CPU that a serving task must leave free; 0 once it has waited for
+    /// `reserve_wait`. The first call starts the waiting time. [`scoring`] ignores the share for
+    /// other tasks.
+    ///
+    /// [`scoring`]: crate::cell::scoring
     fn batch_reserve_for(&mut self, key: TaskKey, now: Instant) -> f64 {
         let settings = self.settings.planning;
         let Some(task) = self.task_mut(key) else { return settings.batch_reserve };
@@ -446,7 +465,7 @@
         self.release_run(key);
     }
 
-    /// Schedules an assignment for the next commit.
+    /// Adds an assignment to the next commit.
     fn record_assignment(&mut self, key: TaskKey) {
         let Some(name) = self.name_of(key) else { return };
         let Some(task) = self.task(key) else { return };
--- a/crates/teaseltrack/src/membership.rs
+++ b/crates/teaseltrack/src/membership.rs
@@ -26,7 +26,8 @@
 pub const EXCHANGE_BUDGET_BYTES: usize = 64_000;
 /// Time that a suspect has to refute the suspicion before it is declared dead.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for which dead and departed members are kept, so that stale updates cannot revive them.
+/// Time for which members in state [`MemberState::Left`] or [`MemberState::Dead`] are kept as
+/// tombstones, so that stale updates cannot revive them.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(120);
 /// Number of times that an update is sent, as a multiple of ln(number of members + 1).
 const RETRANSMIT_MULTIPLIER: f64 = 3.0;
@@ -57,7 +58,7 @@
     Dead,
 }
 
-/// Target advertised to the fleet by its agent.
+/// Target announced to the fleet by its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Announcement {
     /// Service provided by the target.
@@ -83,7 +84,7 @@
     pub incarnation: Incarnation,
     /// Observed state.
     pub state: MemberState,
-    /// Advertised target; `None` without a target that accepts new requests.
+    /// Announced target; `None` while the instance has no target that accepts new requests.
     pub target: Option<Announcement>,
 }
 
@@ -107,6 +108,8 @@
             + target_bytes
     }
 
+    /// Hash of the name, incarnation and state; the other fields change only together with the
+    /// incarnation.
     fn hash(&self) -> u64 {
         let state = self.state as u8;
         xxh3_64(format!("{}/{}/{state}", self.instance, self.incarnation).as_bytes())
@@ -117,7 +120,7 @@
     }
 }
 
-/// XOR of the member hashes of each bucket.
+/// Digest of a membership list: for each bucket, the XOR of the hashes of its members.
 pub type Digest = Vec<u64>;
 
 #[derive(Clone, Debug)]
@@ -154,7 +157,8 @@
         &self.members[&self.local].member
     }
 
-    /// Change counter, incremented by every change to the list.
+    /// Change counter, incremented whenever a member is added or changed. The purge of a tombstone
+    /// doesn't increment it, since it leaves the members that are present unchanged.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -315,6 +319,8 @@
             return;
         }
         let tracked = self.members.get(&member.instance);
+        // An unknown tombstone is not added; otherwise a purged one would return from a peer that
+        // still keeps it, with a new retention period.
         if tracked.is_none() && !member.is_present() {
             return;
         }
@@ -330,6 +336,7 @@
         if claim.precedence() <= local.precedence() {
             return;
         }
+        // `update_local` increments the incarnation beyond the adopted one.
         self.update_local(now, |own| own.incarnation = own.incarnation.max(claim.incarnation));
     }
 
--- a/crates/teaseltrack/tests/routing.rs
+++ b/crates/teaseltrack/tests/routing.rs
@@ -8,6 +8,7 @@
 
 const SERVICE: &str = "tickets";
 const ZONE: &str = "zilina-a";
+/// Random selections per count, so many that a target with any chance of selection is chosen.
 const SELECTIONS: u32 = 400;
 
 struct Fixture {
@@ -26,6 +27,7 @@
         .enumerate()
         .map(|(index, zone)| router.upsert(target_info(index, zone, 1), start))
         .collect();
+    // Far longer than the slow start of 2 s.
     let now = start + Duration::from_secs(60);
     Fixture { router, keys, now, rng: ChaCha8Rng::seed_from_u64(1) }
 }
@@ -114,6 +116,7 @@
     let mut fixture = fixture(&[ZONE, ZONE]);
     (0..3).for_each(|_| fixture.fail(0));
     assert_eq!(fixture.selection_counts()[0], 0);
+    // Longer than the maximum ejection of 10 s.
     fixture.now += Duration::from_secs(60);
     assert!(fixture.selection_counts()[0] > 0);
 }
@@ -143,6 +146,7 @@
     fixture.router.end_unmeasured_attempt(fixture.keys[0], Some(draining));
     assert_eq!(fixture.selection_counts()[0], 0);
     fixture.keys[0] = fixture.router.upsert(target_info(0, ZONE, 2), fixture.now);
+    // Far longer than the slow start of 2 s.
     fixture.now += Duration::from_secs(60);
     assert_eq!(fixture.selection_counts()[1], 0);
 }
@@ -152,7 +156,10 @@
     let mut fixture = fixture(&[ZONE, ZONE]);
     (0..2).for_each(|index| fixture.respond(index, 5));
     fixture.keys.push(fixture.router.upsert(target_info(2, ZONE, 1), fixture.now));
+    // The slow-start factor raises the new target's cost above that of the others, so it loses
+    // every comparison.
     assert_eq!(fixture.selection_counts()[2], 0);
+    // Past the slow start of 2 s.
     fixture.now += Duration::from_secs(10);
     assert!(fixture.selection_counts()[2] > 0);
 }
