--- a/crates/teaseltrack/src/admission.rs
+++ b/crates/teaseltrack/src/admission.rs
@@ -3,7 +3,9 @@
 //! A request is dispatched, queued up to a bound, or refused with an error kind that guarantees
 //! that it didn't run. Free slots are shared between classes by weight (start-time fair queueing)
 //! and between the teams of a class by round robin, so that a flood of requests in one class or
-//! from one team doesn't starve the others.
+//! from one team doesn't starve the queued requests of the others. The queue bound applies per
+//! class, not per team: one team can fill the queue of a class, and new requests of the other teams
+//! in that class are then refused.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -41,8 +43,8 @@
 
 /// Virtual time charged to a class of weight 1 for each dispatch; a multiple of every weight.
 const DISPATCH_COST: u64 = 12;
-/// Service time assumed before the first latency sample.
-const ASSUMED_SERVICE_TIME: Duration = Duration::from_millis(1);
+/// Service latency assumed before the first sample.
+const ASSUMED_SERVICE_LATENCY: Duration = Duration::from_millis(1);
 /// Minimum retry delay that a refusal advises.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
@@ -89,7 +91,7 @@
 /// Outcome of [`Admission::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// The request is queued until [`Admission::dispatch`] returns its ticket.
+    /// The request is queued until it is dispatched, expires or is cancelled.
     Queued(TicketKey),
     /// The request is refused and won't run.
     Refused(Refusal),
@@ -123,7 +125,7 @@
 #[derive(Debug, Default)]
 struct ClassQueue {
     virtual_time: u64,
-    queued: usize,
+    request_count: usize,
     by_team: BTreeMap<TeamName, VecDeque<TicketKey>>,
     team_rotation: VecDeque<TeamName>,
 }
@@ -135,14 +137,14 @@
             self.team_rotation.push_back(team.clone());
         }
         tickets.push_back(ticket);
-        self.queued += 1;
+        self.request_count += 1;
     }
 
     fn pop(&mut self) -> Option<TicketKey> {
         let team = self.team_rotation.pop_front()?;
         let tickets = self.by_team.get_mut(&team)?;
         let ticket = tickets.pop_front()?;
-        self.queued -= 1;
+        self.request_count -= 1;
         if tickets.is_empty() {
             self.by_team.remove(&team);
         } else {
@@ -155,7 +157,7 @@
         let Some(tickets) = self.by_team.get_mut(team) else { return };
         let before = tickets.len();
         tickets.retain(|other| *other != ticket);
-        self.queued -= before - tickets.len();
+        self.request_count -= before - tickets.len();
         if tickets.is_empty() {
             self.by_team.remove(team);
             self.team_rotation.retain(|other| other != team);
@@ -168,7 +170,7 @@
 pub struct Admission {
     limits: AdmissionLimits,
     concurrency: ConcurrencyLimit,
-    waiting: SlotMap<TicketKey, QueuedRequest>,
+    queued_requests: SlotMap<TicketKey, QueuedRequest>,
     by_deadline: BTreeSet<(Instant, TicketKey)>,
     running: SlotMap<PermitKey, Class>,
     queues: BTreeMap<Class, ClassQueue>,
@@ -182,7 +184,7 @@
         Self {
             limits,
             concurrency: ConcurrencyLimit::new(limits.slots),
-            waiting: SlotMap::with_key(),
+            queued_requests: SlotMap::with_key(),
             by_deadline: BTreeSet::new(),
             running: SlotMap::with_key(),
             queues: CLASSES.into_iter().map(|class| (class, ClassQueue::default())).collect(),
@@ -198,7 +200,7 @@
 
     /// Number of queued requests.
     pub fn queued(&self) -> u32 {
-        self.waiting.len() as u32
+        self.queued_requests.len() as u32
     }
 
     /// Current concurrency limit.
@@ -221,7 +223,8 @@
         self.is_draining = true;
     }
 
-    /// Queues a request, or refuses it if it can't be completed within its deadline.
+    /// Queues a request, or refuses it if the target is draining, the queue of its class is full,
+    /// or it is not expected to complete within its deadline.
     pub fn offer(&mut self, now: Instant, meta: RequestMeta) -> AdmissionDecision {
         if self.is_draining {
             return self.refuse(ErrorKind::Draining, MIN_RETRY_AFTER);
@@ -231,22 +234,23 @@
             return self.refuse(ErrorKind::DeadlineExceeded, MIN_RETRY_AFTER);
         }
         let wait = self.expected_wait(meta.class);
-        if self.queues[&meta.class].queued >= self.limits.queue_per_class {
+        if self.queues[&meta.class].request_count >= self.limits.queue_per_class {
             return self.refuse(ErrorKind::QueueFull, wait);
         }
-        if wait + self.service_time() > remaining {
+        if wait + self.service_latency() > remaining {
             return self.refuse(ErrorKind::DeadlineUnmeetable, wait);
         }
         AdmissionDecision::Queued(self.enqueue(meta))
     }
 
-    /// Dispatches the next queued request; `None` if no request is queued or no slot is free.
+    /// Dispatches the next queued request; `None` if no request is queued or the concurrency limit,
+    /// which is at most the number of slots, is reached.
     ///
     /// Doesn't check deadlines: remove requests past their deadline with [`Self::expire`] first.
     pub fn dispatch(&mut self) -> Option<Dispatched> {
         let class = self.next_class()?;
         let ticket = self.queues.get_mut(&class)?.pop()?;
-        let request = self.waiting.remove(ticket)?;
+        let request = self.queued_requests.remove(ticket)?;
         self.by_deadline.remove(&(request.deadline, ticket));
         self.charge(class);
         let permit = self.running.insert(class);
@@ -272,7 +276,8 @@
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Frees the slot of a finished request; `latency` is `None` if the target didn't respond.
+    /// Frees the slot of a finished request and records its service latency; `latency` is `None` if
+    /// the target didn't respond.
     pub fn release(&mut self, permit: PermitKey, latency: Option<Duration>) {
         if self.running.remove(permit).is_none() {
             return;
@@ -284,7 +289,7 @@
 
     /// Cancels a queued request; true if it was still queued, so that it won't run.
     pub fn cancel(&mut self, ticket: TicketKey) -> bool {
-        let Some(request) = self.waiting.remove(ticket) else { return false };
+        let Some(request) = self.queued_requests.remove(ticket) else { return false };
         self.by_deadline.remove(&(request.deadline, ticket));
         if let Some(queue) = self.queues.get_mut(&request.class) {
             queue.remove(&request.team, ticket);
@@ -299,10 +304,12 @@
     fn enqueue(&mut self, meta: RequestMeta) -> TicketKey {
         let virtual_now = self.virtual_now;
         let RequestMeta { class, team, deadline } = meta;
-        let ticket = self.waiting.insert(QueuedRequest { class, team: team.clone(), deadline });
+        let ticket =
+            self.queued_requests.insert(QueuedRequest { class, team: team.clone(), deadline });
         self.by_deadline.insert((deadline, ticket));
         let queue = self.queues.entry(class).or_default();
-        if queue.queued == 0 {
+        // A class gains no credit while idle.
+        if queue.request_count == 0 {
             queue.virtual_time = queue.virtual_time.max(virtual_now);
         }
         queue.push(&team, ticket);
@@ -313,7 +320,7 @@
         if self.in_flight() >= self.limit() {
             return None;
         }
-        let backlogged = self.queues.iter().filter(|(_, queue)| queue.queued > 0);
+        let backlogged = self.queues.iter().filter(|(_, queue)| queue.request_count > 0);
         backlogged
             .min_by_key(|(class, queue)| (queue.virtual_time, **class))
             .map(|(class, _)| *class)
@@ -325,21 +332,21 @@
         queue.virtual_time += DISPATCH_COST / class.weight();
     }
 
-    fn service_time(&self) -> Duration {
-        self.concurrency.latency().unwrap_or(ASSUMED_SERVICE_TIME)
+    fn service_latency(&self) -> Duration {
+        self.concurrency.latency().unwrap_or(ASSUMED_SERVICE_LATENCY)
     }
 
     /// Expected queueing delay of a new request, from its position and the class's share of slots.
     fn expected_wait(&self, class: Class) -> Duration {
-        if self.in_flight() < self.limit() && self.waiting.is_empty() {
+        if self.in_flight() < self.limit() && self.queued_requests.is_empty() {
             return Duration::ZERO;
         }
         let competing =
-            self.queues.iter().filter(|(other, queue)| queue.queued > 0 || **other == class);
+            self.queues.iter().filter(|(other, queue)| queue.request_count > 0 || **other == class);
         let total_weight: u64 = competing.map(|(other, _)| other.weight()).sum();
         let share = class.weight() as f64 / total_weight as f64;
-        let queue_position = self.queues[&class].queued as f64 + 1.0;
+        let queue_position = self.queues[&class].request_count as f64 + 1.0;
         let class_slots = (f64::from(self.limit()) * share).max(0.1);
-        self.service_time().mul_f64(queue_position / class_slots)
+        self.service_latency().mul_f64(queue_position / class_slots)
     }
 }
