--- a/crates/teaseltrack/src/cell/planning.rs
+++ b/crates/teaseltrack/src/cell/planning.rs
@@ -1,9 +1,14 @@
 //! Order in which waiting tasks are assigned.
 //!
+//! Serving tasks are the tasks of long-running stages; those with a `target_tail_ms` are protected
+//! from interference. Best-effort tasks are the tasks of other stages with `is_best_effort`, and
+//! all remaining tasks are batch tasks.
+//!
 //! Batch tasks come first, then serving tasks, which leave a reserve of each worker to batch tasks,
 //! then best-effort tasks, which use CPU that no other task needs. Within a kind, stages are
-//! ordered by the lateness of their job, the priority of its queue and the job's deadline;
-//! best-effort stages by remaining work in place of the deadline. [`scoring`] chooses the worker.
+//! ordered by the lateness of their job, the priority of its queue and the job's deadline. In place
+//! of the deadline, best-effort stages have the time at which their job was accepted plus a delay
+//! in proportion to its remaining work. [`scoring`] chooses the worker.
 //!
 //! [`scoring`]: crate::cell::scoring
 
@@ -27,11 +32,11 @@
 /// Settings of planning.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanningSettings {
-    /// Share of a worker's CPU that long-running tasks leave to batch tasks.
+    /// Share of a worker's CPU that serving tasks leave to batch tasks.
     pub batch_reserve: f64,
-    /// Waiting time after which a long-running task may use the reserve as well.
+    /// Waiting time after which a serving task may use the reserve as well.
     pub reserve_wait: Duration,
-    /// Share of their requested CPU that long-running tasks are assumed to use.
+    /// Share of their requested CPU that serving tasks are assumed to use.
     pub serving_utilization: f64,
     /// Share of its requested CPU that must be spare on a worker for a best-effort task to start
     /// there.
@@ -44,7 +49,8 @@
     /// Waiting time after which a best-effort job without runs gets a task regardless of
     /// interference.
     pub starvation_wait: Duration,
-    /// Reserved share of a service's CPU from which on `starvation_wait` has no effect.
+    /// Share of a service's CPU; `starvation_wait` has no effect while at least this much is
+    /// reserved.
     pub starvation_max_load: f64,
     /// Minimum time between two moves of serving tasks.
     pub regroup_interval: Duration,
@@ -53,9 +59,10 @@
     /// Time until the CPU use of an assigned best-effort task appears in its worker's reports.
     pub usage_report_delay: Duration,
     /// Weight of the remaining work in the order of best-effort jobs: a job is delayed by this
-    /// factor times the time that the whole fleet needs for its remaining work.
+    /// factor times the time that all workers of the cell together need for its remaining work.
     pub remaining_work_weight: f64,
-    /// Factor on a job's objective beyond which the job is scheduled last among its kind.
+    /// Multiple of its completion-time objective after which a job is scheduled last among its
+    /// kind.
     pub long_overdue_factor: f64,
 }
 
@@ -79,7 +86,8 @@
     }
 }
 
-/// How far a job is past its objective, in scheduling order.
+/// How far a job is past its completion-time objective, in scheduling order: late jobs must not
+/// delay jobs that can still meet their objective. Serving stages always count as on time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Lateness {
     OnTime,
@@ -90,13 +98,17 @@
 /// Stage with tasks that wait to be assigned.
 #[derive(Clone, Debug)]
 struct Candidate {
-    /// Kind, lateness, queue priority, and deadline or its substitute; the lowest comes first.
+    /// Kind, lateness, queue priority, and deadline or, for best-effort stages, time of acceptance
+    /// plus the delay for remaining work; the lowest comes first.
     rank: (TaskKind, Lateness, u32, Instant),
-    stage: TaskKey,
+    /// Key of the task with index 0, which identifies the stage.
+    first_task: TaskKey,
+    /// Indexes of the waiting tasks.
     waiting: Vec<u32>,
 }
 
-/// Task sizes that fitted on no worker in the current planning round; larger tasks are skipped.
+/// Task sizes that fitted on no worker in the current planning round; tasks of the same or a larger
+/// size are skipped.
 #[derive(Debug, Default)]
 struct UnplaceableSizes {
     sizes: HashMap<(ServiceName, Option<ImageName>), Vec<Resources>>,
@@ -108,6 +120,7 @@
         (service.to_owned(), image)
     }
 
+    /// Whether a size that the stage's tasks equal or exceed could not be placed.
     fn covers(&self, service: &str, stage: &Stage) -> bool {
         let sizes = self.sizes.get(&Self::key(service, stage));
         !stage.is_long_running
@@ -127,7 +140,9 @@
 }
 
 impl Cell {
-    /// Assigns waiting tasks to workers. The start orders are sent after the next commit.
+    /// Runs a planning round: begins due occurrences, stops serving tasks on draining workers,
+    /// assigns waiting tasks, gives a task to each starved best-effort job, and, unless serving
+    /// tasks were waiting, regroups them. Start orders are sent after the next commit.
     pub fn plan(&mut self, unix_now_ms: u64, now: Instant) {
         self.needs_plan = false;
         self.begin_due_occurrences(unix_now_ms);
@@ -173,7 +188,7 @@
     }
 
     fn begin_due_occurrences(&mut self, unix_now_ms: u64) {
-        for key in self.active.clone() {
+        for key in self.open_jobs.clone() {
             let job = &self.jobs[key];
             if job.state.is_final() {
                 continue;
@@ -205,7 +220,7 @@
         job.occurrences.push(Occurrence { stages });
     }
 
-    /// Stops long-running tasks on draining workers.
+    /// Stops serving tasks on draining workers.
     fn evacuate_draining_workers(&mut self) {
         let affected: Vec<TaskKey> = self
             .workers
@@ -232,14 +247,14 @@
 
     fn candidates(&self, now: Instant) -> Vec<Candidate> {
         let mut candidates = Vec::new();
-        for &key in &self.active {
+        for &key in &self.open_jobs {
             let Some(job) = self.jobs.get(key).filter(|job| !job.state.is_final()) else {
                 continue;
             };
-            for (occurrence, state) in job.occurrences.iter().enumerate() {
-                for (number, stage) in job.spec.stages.iter().enumerate() {
-                    let tasks = &state.stages[number];
-                    if !is_ready(state, stage) {
+            for (occurrence_index, occurrence) in job.occurrences.iter().enumerate() {
+                for (stage_index, stage) in job.spec.stages.iter().enumerate() {
+                    let tasks = &occurrence.stages[stage_index];
+                    if !is_ready(occurrence, stage) {
                         continue;
                     }
                     let waiting: Vec<u32> = (0..tasks.len() as u32)
@@ -248,14 +263,14 @@
                     if waiting.is_empty() || (stage.is_gang && waiting.len() < tasks.len()) {
                         continue;
                     }
-                    let stage_key = TaskKey {
+                    let first_task = TaskKey {
                         job: key,
-                        occurrence: occurrence as u32,
-                        stage: number as u32,
+                        occurrence: occurrence_index as u32,
+                        stage: stage_index as u32,
                         index: 0,
                     };
                     let rank = self.rank(key, stage, now);
-                    candidates.push(Candidate { rank, stage: stage_key, waiting });
+                    candidates.push(Candidate { rank, first_task, waiting });
                 }
             }
         }
@@ -276,12 +291,12 @@
         } else {
             Lateness::LongOverdue
         };
-        let order = if stage.is_best_effort {
+        let ordering_time = if stage.is_best_effort {
             job.accepted_at + self.remaining_work_delay(key)
         } else {
             deadline
         };
-        (TaskKind::of(stage), lateness, job.queue.priority, order)
+        (TaskKind::of(stage), lateness, job.queue.priority, ordering_time)
     }
 
     /// Delay of a best-effort job in the scheduling order, in proportion to its remaining work.
@@ -289,12 +304,12 @@
     /// delay is added to the time of acceptance.
     fn remaining_work_delay(&self, key: JobKey) -> Duration {
         let job = &self.jobs[key];
-        let remaining_core_ms = |number: usize, stage: &Stage| {
+        let remaining_core_ms = |stage_index: usize, stage: &Stage| {
             let is_done = |task: &&Task| task.progress.phase == TaskPhase::Done;
             let done: usize = job
                 .occurrences
                 .iter()
-                .map(|occurrence| occurrence.stages[number].iter().filter(is_done).count())
+                .map(|occurrence| occurrence.stages[stage_index].iter().filter(is_done).count())
                 .sum();
             let started_count = job.occurrences.len().max(1) as u64;
             let remaining =
@@ -302,15 +317,16 @@
             remaining * stage.estimate_ms * stage.resources.cpu_milli / 1_000
         };
         let stages = job.spec.stages.iter().enumerate();
-        let core_ms: u64 = stages.map(|(number, stage)| remaining_core_ms(number, stage)).sum();
-        let fleet_milli: u64 = self
+        let core_ms: u64 =
+            stages.map(|(stage_index, stage)| remaining_core_ms(stage_index, stage)).sum();
+        let cell_milli: u64 = self
             .workers
             .values()
             .filter_map(|worker| worker.status.as_ref())
             .map(|status| status.capacity.cpu_milli)
             .sum();
-        let fleet_ms = core_ms as f64 * 1_000.0 / fleet_milli.max(1) as f64;
-        Duration::from_millis((fleet_ms * self.settings.planning.remaining_work_weight) as u64)
+        let cell_ms = core_ms as f64 * 1_000.0 / cell_milli.max(1) as f64;
+        Duration::from_millis((cell_ms * self.settings.planning.remaining_work_weight) as u64)
     }
 
     fn place_stage(
@@ -320,21 +336,21 @@
         unplaceable: &mut UnplaceableSizes,
         now: Instant,
     ) {
-        let stage = self.stage(candidate.stage).clone();
-        let service = self.jobs[candidate.stage.job].queue.service.clone();
+        let stage = self.stage(candidate.first_task).clone();
+        let service = self.jobs[candidate.first_task.job].queue.service.clone();
         if unplaceable.covers(&service, &stage) {
             return;
         }
         let attempt = self.next_gang_attempt(candidate, &stage);
         let mut placed = Vec::new();
         for &index in &candidate.waiting {
-            let key = TaskKey { index, ..candidate.stage };
+            let key = TaskKey { index, ..candidate.first_task };
             let batch_reserve = self.batch_reserve_for(key, now);
             let chosen = self.choose_worker(key, &stage, workers, batch_reserve);
             let Some(worker) = chosen else {
                 unplaceable.record(&service, &stage);
-                // Whether a serving task may use the reserve depends on its own waiting time; all
-                // other tasks of a stage are interchangeable.
+                // Another serving task of the stage may have waited long enough to use the reserve.
+                // All other tasks of a stage are interchangeable: if one doesn't fit, none does.
                 if stage.is_long_running {
                     continue;
                 }
@@ -358,14 +374,15 @@
         }
     }
 
-    /// Assigns one task of a best-effort job that has waited without runs while much of the fleet
-    /// is free. Its interference with serving tasks is ignored, because agents pace the task.
+    /// Assigns one task of a best-effort job that has waited without runs for `starvation_wait`, if
+    /// less than `starvation_max_load` of its service's CPU is reserved. Its interference with
+    /// serving tasks is ignored, because agents pace the task.
     fn relieve_starvation(&mut self, candidate: &Candidate, workers: &[WorkerKey], now: Instant) {
         let settings = self.settings.planning;
-        let stage = self.stage(candidate.stage).clone();
-        let job = candidate.stage.job;
+        let stage = self.stage(candidate.first_task).clone();
+        let job = candidate.first_task.job;
         let Some(&index) = candidate.waiting.first() else { return };
-        let key = TaskKey { index, ..candidate.stage };
+        let key = TaskKey { index, ..candidate.first_task };
         if !stage.is_best_effort || stage.is_gang || self.has_runs(job) {
             return;
         }
@@ -396,8 +413,11 @@
         reserved_milli as f64 / capacity_milli.max(1) as f64
     }
 
-    /// Share of a worker's CPU that a task must leave free; 0 once it has waited for
-    /// `reserve_wait`.
+    /// Share of a worker's CPU that a serving task must leave free; 0 once it has waited for
+    /// `reserve_wait`. The first call starts the waiting time. [`scoring`] ignores the share for
+    /// other tasks.
+    ///
+    /// [`scoring`]: crate::cell::scoring
     fn batch_reserve_for(&mut self, key: TaskKey, now: Instant) -> f64 {
         let settings = self.settings.planning;
         let Some(task) = self.task_mut(key) else { return settings.batch_reserve };
@@ -411,9 +431,9 @@
         if !stage.is_gang {
             return None;
         }
-        let members = &self.jobs[candidate.stage.job].occurrences
-            [candidate.stage.occurrence as usize]
-            .stages[candidate.stage.stage as usize];
+        let members = &self.jobs[candidate.first_task.job].occurrences
+            [candidate.first_task.occurrence as usize]
+            .stages[candidate.first_task.stage as usize];
         let last = members.iter().map(|task| task.progress.attempt).max().unwrap_or(0);
         Some(self.attempt_after(last))
     }
@@ -445,7 +465,7 @@
         self.release_run(key);
     }
 
-    /// Schedules an assignment for the next commit.
+    /// Adds an assignment to the next commit.
     fn record_assignment(&mut self, key: TaskKey) {
         let Some(name) = self.name_of(key) else { return };
         let Some(task) = self.task(key) else { return };
@@ -466,8 +486,8 @@
 }
 
 fn is_ready(occurrence: &Occurrence, stage: &Stage) -> bool {
-    let is_done = |earlier: &usize| {
-        occurrence.stages[*earlier].iter().all(|task| task.progress.phase == TaskPhase::Done)
+    let is_done = |dependency: &usize| {
+        occurrence.stages[*dependency].iter().all(|task| task.progress.phase == TaskPhase::Done)
     };
     stage.after.iter().all(is_done)
 }
